--- a/apps/daemon/node.cpp
+++ b/apps/daemon/node.cpp
@@ -68,7 +68,7 @@
       members_( self_member(), seed_of( settings_.id, incarnation_ ) ),
       heartbeats_( members_, holder_, codec_, peers_, clock_ ),
       watch_( std::make_shared<membership::target_watch>( settings_.id,
-                                                          settings_.place,
+                                                          settings_.data_centre,
                                                           holder_,
                                                           targets_,
                                                           *policy_,
@@ -109,7 +109,7 @@
 {
     auto self = membership::member{};
     self.id = settings_.id;
-    self.place = settings_.place;
+    self.data_centre = settings_.data_centre;
     self.callers = settings_.callers;
     self.peers = settings_.peers;
     self.incarnation = incarnation_;
@@ -131,7 +131,7 @@
     operators_.open();
     callers_.open();
     LOG( INFO ) << "instance " << settings_.id.str() << " in "
-                << settings_.place.str() << " serves callers at "
+                << settings_.data_centre.str() << " serves callers at "
                 << core::to_string( settings_.callers );
 }
 
--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -61,7 +61,7 @@
     return { s.instance,
              core::incarnation( started.count() ),
              s.callers.ip,
-             s.place,
+             s.data_centre,
              core::to_string( s.callers ),
              s.thousandths_of_core };
 }
@@ -81,7 +81,7 @@
       bounded_log_( log, scheduler_, logged_requests ), log_( bounded_log_ ),
       http_( io ), store_( http_, settings_.store ), target_calls_( http_ ),
       memory_orders_( http_ ), crashes_( lapse_time( settings_ ) ),
-      placement_( board_, settings_.place ),
+      placement_( board_, settings_.data_centre ),
       retries_( { settings_.retry_ratio, settings_.retry_constant,
                   settings_.retry_window } ),
       room_( scheduler_ ), datagrams_( io, settings_.peers ),
@@ -366,7 +366,7 @@
             waits += ( waits.empty() ? "" : ", " ) + std::string( name );
     };
     check( next.instance == settings_.instance, "instance" );
-    check( next.place == settings_.place, "place" );
+    check( next.data_centre == settings_.data_centre, "place" );
     check( next.callers == settings_.callers, "address for callers" );
     check( next.readiness == settings_.readiness, "address for readiness" );
     check( next.directory == settings_.directory, "address of the directory" );
--- a/apps/tool/caller.cpp
+++ b/apps/tool/caller.cpp
@@ -40,7 +40,7 @@
 {
     auto builder = web::uri_builder( "/v1/entry" );
     builder.append_query( "workspace", options.workspace );
-    builder.append_query( "place", options.place );
+    builder.append_query( "place", options.data_centre );
     auto client = client_for( options.entry, entry_timeout );
     return client.request( web::http::methods::GET, builder.to_string() )
         .get()
--- a/apps/tool/caller.hpp
+++ b/apps/tool/caller.hpp
@@ -15,7 +15,7 @@
     pollenstream::core::address entry; ///< any daemon's address for callers
     std::string workspace;
     std::string profile;
-    std::string place;
+    std::string data_centre;
     bool json{ false };
 };
 
--- a/apps/tool/commands.cpp
+++ b/apps/tool/commands.cpp
@@ -71,7 +71,7 @@
     options.entry = *entry;
     options.workspace = text_or( given, "--workspace", {} );
     options.profile = text_or( given, "--profile", {} );
-    options.place = text_or( given, "--place", {} );
+    options.data_centre = text_or( given, "--place", {} );
     options.json = given.at( "--json" ).asBool();
     if ( given.at( "entry" ).asBool() )
     {
--- a/bench/capacity_rows.cpp
+++ b/bench/capacity_rows.cpp
@@ -60,7 +60,7 @@
     {
         auto m = membership::member{};
         m.id = core::instance_id( "entry-instance-" + number( i ) );
-        m.place = core::place_id( "karratha-hall" );
+        m.data_centre = core::data_centre_id( "karratha-hall" );
         m.callers = { "10.100.100.100", 8080 };
         m.peers = { "10.100.100.100", 8081 };
         m.incarnation = core::incarnation( 1'764'700'000'000'000 );
@@ -138,7 +138,7 @@
     for ( auto i = std::int64_t{ 0 }; i < count; ++i )
         targets.push_back( { core::target_id( "runner-" + number( i ) ),
                              core::service_id( "model" ),
-                             core::place_id( "karratha-hall" ),
+                             core::data_centre_id( "karratha-hall" ),
                              { "10.100.100.100", 9000 } } );
     return targets;
 }
@@ -214,9 +214,10 @@
 {
     auto listed = std::vector<ports::listed_target>{};
     for ( auto const& each : make_targets( size ) )
-        listed.push_back( { each.id, each.service, each.place, each.address } );
+        listed.push_back(
+            { each.id, each.service, each.data_centre, each.address } );
     auto const wanted = membership::selection_request{
-        core::instance_id( "i" ), core::place_id( "karratha-hall" ), 24 };
+        core::instance_id( "i" ), core::data_centre_id( "karratha-hall" ), 24 };
     auto row = capacity_row{};
     constexpr auto bytes_per_listed = 150.0;
     row.bytes = bytes_per_listed * static_cast<double>( size );
--- a/bench/routing_run.cpp
+++ b/bench/routing_run.cpp
@@ -148,7 +148,7 @@
             engines_.add( id, settings );
             identities_.push_back( { core::target_id( id ),
                                      core::service_id( "model" ),
-                                     core::place_id( "here" ),
+                                     core::data_centre_id( "here" ),
                                      { "127.0.0.1", 1 } } );
         }
     }
--- a/src/pollenstream/adapters/http/caller_listener.cpp
+++ b/src/pollenstream/adapters/http/caller_listener.cpp
@@ -186,7 +186,7 @@
 {
     auto const entry =
         gateway_.entry( core::workspace_id( request.query( "workspace" ) ),
-                        core::place_id( request.query( "place" ) ) );
+                        core::data_centre_id( request.query( "place" ) ) );
     auto addresses = value::array( entry.addresses.size() );
     for ( auto i = std::size_t{ 0 }; i < entry.addresses.size(); ++i )
         addresses[i] = value::string( core::to_string( entry.addresses[i] ) );
--- a/src/pollenstream/adapters/http/list_http_client.cpp
+++ b/src/pollenstream/adapters/http/list_http_client.cpp
@@ -84,7 +84,7 @@
         auto fields = json_fields( each, "$.instances[]" );
         auto one = ports::listed_instance{};
         one.id = core::instance_id( fields.required_text( "id" ) );
-        one.place = core::place_id( fields.text( "place", {} ) );
+        one.data_centre = core::data_centre_id( fields.text( "place", {} ) );
         one.callers = read_address( fields, "callers" );
         one.peers = read_address( fields, "peers" );
         one.state = read_state( fields );
@@ -98,7 +98,7 @@
         auto one = ports::listed_target{};
         one.id = core::target_id( fields.required_text( "id" ) );
         one.service = core::service_id( fields.required_text( "service" ) );
-        one.place = core::place_id( fields.text( "place", {} ) );
+        one.data_centre = core::data_centre_id( fields.text( "place", {} ) );
         one.address = read_address( fields, "address" );
         one.state = read_state( fields );
         if ( !fields.status() )
--- a/src/pollenstream/adapters/http/state_dump.cpp
+++ b/src/pollenstream/adapters/http/state_dump.cpp
@@ -33,7 +33,7 @@
 {
     auto json = value::object();
     json["id"] = value::string( m.id.str() );
-    json["place"] = value::string( m.place.str() );
+    json["place"] = value::string( m.data_centre.str() );
     json["callers"] = value::string( core::to_string( m.callers ) );
     json["peers"] = value::string( core::to_string( m.peers ) );
     json["incarnation"] = value::number( m.incarnation.count() );
@@ -49,7 +49,7 @@
     auto const& identity = t.identity();
     json["id"] = value::string( identity.id.str() );
     json["service"] = value::string( identity.service.str() );
-    json["place"] = value::string( identity.place.str() );
+    json["place"] = value::string( identity.data_centre.str() );
     json["address"] = value::string( core::to_string( identity.address ) );
     json["phase"] = value::string( std::string( name_of( t.phase() ) ) );
     json["open_requests"] = value::number( t.open_requests() );
--- a/src/pollenstream/core/ids.hpp
+++ b/src/pollenstream/core/ids.hpp
@@ -11,7 +11,7 @@
 /// Names one back end: a model engine or a plain service process.
 using target_id = strong_id<struct target_id_tag>;
 /// Names a data centre.
-using place_id = strong_id<struct place_id_tag>;
+using data_centre_id = strong_id<struct data_centre_id_tag>;
 /// Names a customer whose limits and shares are counted together.
 using workspace_id = strong_id<struct workspace_id_tag>;
 /// Names an operator's profile.
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -180,8 +180,9 @@
            ms_of( demand.tightest_gap ) * long_part_of_gap;
 }
 
-placement::placement( target_board const& board, core::place_id own_place )
-    : board_( board ), own_place_( std::move( own_place ) )
+placement::placement( target_board const& board,
+                      core::data_centre_id own_data_centre )
+    : board_( board ), own_data_centre_( std::move( own_data_centre ) )
 {
 }
 
@@ -379,7 +380,7 @@
             busy = std::max( busy, static_cast<double>( t->told->running +
                                                         t->told->waiting ) );
         auto load = busy / slots;
-        if ( t->facts.place != own_place_ )
+        if ( t->facts.data_centre != own_data_centre_ )
             load += far_place_load;
         if ( load < best_load )
         {
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -121,7 +121,8 @@
 class placement
 {
 public:
-    placement( target_board const& board, core::place_id own_place );
+    placement( target_board const& board,
+               core::data_centre_id own_data_centre );
 
     /// The targets for `demand` among those that may get work now.
     [[nodiscard]] auto choose( placement_demand const& demand,
@@ -204,7 +205,7 @@
         -> placement_result;
 
     target_board const& board_;
-    core::place_id own_place_;
+    core::data_centre_id own_data_centre_;
 };
 
 /// True where reading the prompt beside the writers with the shortest pauses
--- a/src/pollenstream/exchange/target_board.hpp
+++ b/src/pollenstream/exchange/target_board.hpp
@@ -48,7 +48,7 @@
     core::target_lifetime lifetime;
     core::service_id service;
     core::address address;
-    core::place_id place;
+    core::data_centre_id data_centre;
     std::int64_t slots{ 1 };
     bool leaving{ false };
     core::duration slow_for{ 0 }; ///< how long it stays slow after its start
--- a/src/pollenstream/membership/member.hpp
+++ b/src/pollenstream/membership/member.hpp
@@ -27,7 +27,7 @@
 struct member
 {
     core::instance_id id;
-    core::place_id place;
+    core::data_centre_id data_centre;
     core::address callers;
     core::address peers;
     core::incarnation incarnation;
--- a/src/pollenstream/membership/member_table.cpp
+++ b/src/pollenstream/membership/member_table.cpp
@@ -58,7 +58,8 @@
         auto const known = records_.find( each.id );
         if ( known != records_.end() )
             continue;
-        auto named = member{ each.id, each.place, each.callers, each.peers };
+        auto named =
+            member{ each.id, each.data_centre, each.callers, each.peers };
         if ( each.state == ports::listed_state::leaving )
             named.phase = member_phase::leaving;
         store( named, now );
--- a/src/pollenstream/membership/target_selection.cpp
+++ b/src/pollenstream/membership/target_selection.cpp
@@ -45,7 +45,7 @@
     {
         auto const weight =
             rendezvous_weight( wanted.self.str(), each.id.str() );
-        auto& side = each.place == wanted.place ? near : far;
+        auto& side = each.data_centre == wanted.data_centre ? near : far;
         side.push_back( { &each, weight } );
     }
     auto const far_wanted = static_cast<std::size_t>(
--- a/src/pollenstream/membership/target_selection.hpp
+++ b/src/pollenstream/membership/target_selection.hpp
@@ -14,7 +14,7 @@
 struct selection_request
 {
     core::instance_id self;
-    core::place_id place;
+    core::data_centre_id data_centre;
     std::size_t most{ 0 };
 };
 
--- a/src/pollenstream/membership/target_watch.cpp
+++ b/src/pollenstream/membership/target_watch.cpp
@@ -25,13 +25,13 @@
 }
 
 target_watch::target_watch( core::instance_id self,
-                            core::place_id place,
+                            core::data_centre_id data_centre,
                             state::configuration_holder& holder,
                             routing::target_table& table,
                             routing::target_policy& policy,
                             ports::engine_client& engines,
                             ports::clock const& clock )
-    : self_( std::move( self ) ), place_( std::move( place ) ),
+    : self_( std::move( self ) ), data_centre_( std::move( data_centre ) ),
       holder_( holder ), table_( table ), policy_( policy ),
       engines_( engines ), clock_( clock )
 {
@@ -55,13 +55,14 @@
                                    known->targets_per_instance )
                              : default_most;
             } );
-        auto const chosen = select_targets( targets, { self_, place_, most } );
+        auto const chosen =
+            select_targets( targets, { self_, data_centre_, most } );
         kept.insert( kept.end(), chosen.begin(), chosen.end() );
     }
     auto identities = std::vector<routing::target_identity>{};
     for ( auto const& each : kept )
         identities.push_back(
-            { each.id, each.service, each.place, each.address } );
+            { each.id, each.service, each.data_centre, each.address } );
     auto const now = clock_.now();
     table_.replace( identities, now );
     for ( auto const& each : kept )
--- a/src/pollenstream/membership/target_watch.hpp
+++ b/src/pollenstream/membership/target_watch.hpp
@@ -22,7 +22,7 @@
 {
 public:
     target_watch( core::instance_id self,
-                  core::place_id place,
+                  core::data_centre_id data_centre,
                   state::configuration_holder& holder,
                   routing::target_table& table,
                   routing::target_policy& policy,
@@ -50,7 +50,7 @@
     auto is_model_target( routing::target const& t ) const -> bool;
 
     core::instance_id self_;
-    core::place_id place_;
+    core::data_centre_id data_centre_;
     state::configuration_holder& holder_;
     routing::target_table& table_;
     routing::target_policy& policy_;
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -99,7 +99,7 @@
     message.sender = self_.id;
     message.incarnation = self_.incarnation;
     message.ip = self_.ip;
-    message.place = self_.place;
+    message.data_centre = self_.data_centre;
     message.callers = self_.callers;
     message.known_until = known_until_;
     message.ready = ready_;
@@ -119,7 +119,7 @@
     message.sender = p.id;
     message.incarnation = p.incarnation;
     message.ip = p.ip;
-    message.place = p.place;
+    message.data_centre = p.data_centre;
     message.callers = p.callers;
     message.known_until = p.known_until;
     message.capacity = p.capacity;
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -354,10 +354,10 @@
 auto to_json( peer_message const& m ) -> json
 {
     return json::array(
-        { layout, m.sender.str(), m.incarnation.count(), m.ip, m.place.str(),
-          m.callers, m.known_until.count(), m.capacity, m.uptime_ms, m.ready,
-          m.leaving, m.complete, m.store_served_ms, m.store_age_ms,
-          lists_to_json( m ),
+        { layout, m.sender.str(), m.incarnation.count(), m.ip,
+          m.data_centre.str(), m.callers, m.known_until.count(), m.capacity,
+          m.uptime_ms, m.ready, m.leaving, m.complete, m.store_served_ms,
+          m.store_age_ms, lists_to_json( m ),
           json::binary( { m.update.begin(), m.update.end() } ) } );
 }
 
@@ -368,7 +368,8 @@
     m.sender = core::instance_id( object.at( at++ ).get<std::string>() );
     m.incarnation = core::incarnation( object.at( at++ ).get<std::int64_t>() );
     m.ip = object.at( at++ ).get<std::string>();
-    m.place = core::place_id( object.at( at++ ).get<std::string>() );
+    m.data_centre =
+        core::data_centre_id( object.at( at++ ).get<std::string>() );
     m.callers = object.at( at++ ).get<std::string>();
     m.known_until =
         ports::store_revision( object.at( at++ ).get<std::int64_t>() );
--- a/src/pollenstream/peers/peer_message.hpp
+++ b/src/pollenstream/peers/peer_message.hpp
@@ -87,10 +87,10 @@
 struct peer_message
 {
     core::instance_id sender;
-    core::incarnation incarnation; ///< of the sender's process
-    std::string ip;                ///< of the sender
-    core::place_id place;          ///< of the sender
-    std::string callers;           ///< where callers reach the sender
+    core::incarnation incarnation;    ///< of the sender's process
+    std::string ip;                   ///< of the sender
+    core::data_centre_id data_centre; ///< of the sender
+    std::string callers;              ///< where callers reach the sender
     ports::store_revision known_until;
     std::int64_t capacity{ 0 };  ///< thousandths of a core that it may use
     std::int64_t uptime_ms{ 0 }; ///< of the sender's process
--- a/src/pollenstream/peers/peer_table.cpp
+++ b/src/pollenstream/peers/peer_table.cpp
@@ -54,7 +54,7 @@
     p.id = message.sender;
     p.incarnation = message.incarnation;
     p.ip = message.ip;
-    p.place = message.place;
+    p.data_centre = message.data_centre;
     p.callers = message.callers;
     p.known_until = std::max( p.known_until, message.known_until );
     p.store_served = std::chrono::milliseconds( message.store_served_ms );
--- a/src/pollenstream/peers/peer_table.hpp
+++ b/src/pollenstream/peers/peer_table.hpp
@@ -21,7 +21,7 @@
     core::instance_id id;
     core::incarnation incarnation;
     std::string ip;
-    core::place_id place;
+    core::data_centre_id data_centre;
     std::string callers;
     ports::store_revision known_until;
     core::instant store_answered;     ///< when the store last answered it
@@ -41,7 +41,7 @@
     core::instance_id id;
     core::incarnation incarnation;
     std::string ip;
-    core::place_id place;
+    core::data_centre_id data_centre;
     std::string callers;
     /// Thousandths of a core that it may use; the strongest place prompts.
     std::int64_t capacity{ 0 };
--- a/src/pollenstream/ports/instance_list.hpp
+++ b/src/pollenstream/ports/instance_list.hpp
@@ -22,7 +22,7 @@
 struct listed_instance
 {
     core::instance_id id;
-    core::place_id place;
+    core::data_centre_id data_centre;
     core::address callers; ///< where callers connect
     core::address peers;   ///< where other instances connect
     listed_state state{ listed_state::live };
@@ -33,7 +33,7 @@
 {
     core::target_id id;
     core::service_id service;
-    core::place_id place;
+    core::data_centre_id data_centre;
     core::address address;
     listed_state state{ listed_state::live };
 };
--- a/src/pollenstream/profiles/configuration.cpp
+++ b/src/pollenstream/profiles/configuration.cpp
@@ -62,7 +62,7 @@
     p.workspace_requests_per_second =
         reader.number( "workspace_requests_per_second", 0, 0, most_rate );
     for ( auto const& place : reader.words( "places" ) )
-        p.places.emplace_back( place );
+        p.data_centres.emplace_back( place );
     return p;
 }
 
--- a/src/pollenstream/profiles/profile.hpp
+++ b/src/pollenstream/profiles/profile.hpp
@@ -24,7 +24,8 @@
     core::token_count max_output;
     /// Requests a second that one workspace may start; 0 means no limit.
     std::int64_t workspace_requests_per_second{ 0 };
-    std::vector<core::place_id> places; ///< preferred places, best first
+    std::vector<core::data_centre_id>
+        data_centres; ///< preferred places, best first
 };
 
 /// The time within which a request with `prompt` tokens ends.
--- a/src/pollenstream/routing/predicted_policy.cpp
+++ b/src/pollenstream/routing/predicted_policy.cpp
@@ -32,11 +32,12 @@
 constexpr auto seconds_per_open_request = 0.1;
 
 auto is_preferred( target const& candidate,
-                   std::vector<core::place_id> const& places ) -> bool
+                   std::vector<core::data_centre_id> const& data_centres )
+    -> bool
 {
-    return places.empty() ||
-           std::find( places.begin(), places.end(),
-                      candidate.identity().place ) != places.end();
+    return data_centres.empty() ||
+           std::find( data_centres.begin(), data_centres.end(),
+                      candidate.identity().data_centre ) != data_centres.end();
 }
 
 /// How much a long prompt harms a short one at the same target, from 0 to 1. A
@@ -128,7 +129,7 @@
     if ( !options_.use_backlog )
         found.score = seconds_per_open_request *
                       static_cast<double>( candidate->open_requests() );
-    if ( !is_preferred( *candidate, shape.places ) )
+    if ( !is_preferred( *candidate, shape.data_centres ) )
         found.score += far_place_seconds;
     return found;
 }
--- a/src/pollenstream/routing/target.hpp
+++ b/src/pollenstream/routing/target.hpp
@@ -19,7 +19,7 @@
 {
     core::target_id id;
     core::service_id service;
-    core::place_id place;
+    core::data_centre_id data_centre;
     core::address address;
 };
 
--- a/src/pollenstream/routing/target_policy.hpp
+++ b/src/pollenstream/routing/target_policy.hpp
@@ -23,7 +23,7 @@
     std::int64_t prompt_tokens{ 0 };
     std::int64_t output_tokens{ 0 };
     core::prefix_chain prefixes;
-    std::vector<core::place_id> places; ///< preferred, best first
+    std::vector<core::data_centre_id> data_centres; ///< preferred, best first
     /// Targets that this request has tried already.
     std::vector<core::target_id> tried;
 };
--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -312,7 +312,7 @@
 }
 
 auto gateway::entry( core::workspace_id const& workspace,
-                     core::place_id const& place ) -> entry_answer
+                     core::data_centre_id const& data_centre ) -> entry_answer
 {
     auto const alive = members_.alive();
     auto ordered =
@@ -321,7 +321,7 @@
     auto const split = ordered.begin() + static_cast<std::ptrdiff_t>( homes );
     auto const is_near = [&]( membership::member const& m )
     {
-        return m.place == place;
+        return m.data_centre == data_centre;
     };
     std::stable_partition( ordered.begin(), split, is_near );
     std::stable_partition( split, ordered.end(), is_near );
--- a/src/pollenstream/sessions/gateway.hpp
+++ b/src/pollenstream/sessions/gateway.hpp
@@ -68,7 +68,7 @@
     auto call_here( plain_call const& wanted, call_done callback ) -> void;
 
     auto entry( core::workspace_id const& workspace,
-                core::place_id const& place ) -> entry_answer;
+                core::data_centre_id const& data_centre ) -> entry_answer;
 
     /// Refuses all new requests, as "not run".
     auto close() -> void;
--- a/src/pollenstream/sessions/session.cpp
+++ b/src/pollenstream/sessions/session.cpp
@@ -78,7 +78,7 @@
     s.prompt_tokens = prompt_tokens_.count() + answer_.position();
     s.output_tokens = max_output_.count() - answer_.position();
     s.prefixes = prefixes_;
-    s.places = profile_.places;
+    s.data_centres = profile_.data_centres;
     s.tried = tried_;
     return s;
 }
--- a/src/pollenstream/settings/daemon_settings.cpp
+++ b/src/pollenstream/settings/daemon_settings.cpp
@@ -28,7 +28,7 @@
     into.id = core::instance_id( reader.required_text( "id" ) );
     if ( into.id.str().find_first_of( ":/ " ) != std::string::npos )
         reader.fault( "id", "must not contain ':', '/' or blanks" );
-    into.place = core::place_id( reader.required_text( "place" ) );
+    into.data_centre = core::data_centre_id( reader.required_text( "place" ) );
     into.callers = reader.required_address( "callers" );
     into.peers = reader.required_address( "peers" );
     into.operators = reader.required_address( "operators" );
--- a/src/pollenstream/settings/daemon_settings.hpp
+++ b/src/pollenstream/settings/daemon_settings.hpp
@@ -17,7 +17,7 @@
 struct daemon_settings
 {
     core::instance_id id;
-    core::place_id place;
+    core::data_centre_id data_centre;
     core::address callers;
     core::address peers;
     core::address operators;
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -83,7 +83,7 @@
     }
 
     exchange::target_board board;
-    exchange::placement chooser{ board, core::place_id( "a" ) };
+    exchange::placement chooser{ board, core::data_centre_id( "a" ) };
     exchange::service_settings service;
     core::instance_id self{ "self" };
     core::instant now{ 100s };
--- a/tests/membership/member_table_test.cpp
+++ b/tests/membership/member_table_test.cpp
@@ -224,7 +224,7 @@
     {
         auto t = ports::listed_target{};
         t.id = core::target_id( "t" + std::to_string( i ) );
-        t.place = core::place_id( "p" + std::to_string( i % 10 ) );
+        t.data_centre = core::data_centre_id( "p" + std::to_string( i % 10 ) );
         targets.push_back( t );
     }
     auto uses = std::map<core::target_id, int>{};
@@ -232,14 +232,14 @@
     {
         auto const request = membership::selection_request{
             core::instance_id( "i" + std::to_string( i ) ),
-            core::place_id( "p" + std::to_string( i % 10 ) ), 24 };
+            core::data_centre_id( "p" + std::to_string( i % 10 ) ), 24 };
         auto const chosen = membership::select_targets( targets, request );
         REQUIRE( chosen.size() == 24 );
         auto near = 0;
         for ( auto const& each : chosen )
         {
             ++uses[each.id];
-            near += each.place == request.place ? 1 : 0;
+            near += each.data_centre == request.data_centre ? 1 : 0;
         }
         REQUIRE( near == 18 );
     }
--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -65,7 +65,7 @@
         : ip( "10.0.0." + std::to_string( number ) ),
           name( "n" + std::to_string( number ) ), sender( network, ip ),
           group( { core::instance_id( name ), core::incarnation( incarnation ),
-                   ip, core::place_id( "a" ), ip + ":80", 250 },
+                   ip, core::data_centre_id( "a" ), ip + ":80", 250 },
                  std::move( seeds ),
                  scheduler,
                  sender,
--- a/tests/routing/policy_test.cpp
+++ b/tests/routing/policy_test.cpp
@@ -24,7 +24,7 @@
     for ( auto i = 0; i < count; ++i )
         all.push_back( { core::target_id( "t" + std::to_string( i ) ),
                          core::service_id( "s" ),
-                         core::place_id( "p" ),
+                         core::data_centre_id( "p" ),
                          { "127.0.0.1", 1 } } );
     return all;
 }
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -84,7 +84,7 @@
     facts.address = { "10.0.0.1",
                       static_cast<std::uint16_t>(
                           1000 + std::hash<std::string>{}( id ) % 1000 ) };
-    facts.place = core::place_id( "a" );
+    facts.data_centre = core::data_centre_id( "a" );
     facts.slots = service == "model" ? 16 : 6;
     return facts;
 }
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -384,7 +384,7 @@
     recorded_reservations reservations;
     exchange::target_board board;
     exchange::crash_history crashes{ std::chrono::seconds( 6 ) };
-    exchange::placement chooser{ board, core::place_id( "a" ) };
+    exchange::placement chooser{ board, core::data_centre_id( "a" ) };
     exchange::shared_retry_budget retries{
         { 0.2, 100, std::chrono::seconds( 10 ) } };
     exchange::waiting_room room{ scheduler };
--- a/tests/support/plain_instance.hpp
+++ b/tests/support/plain_instance.hpp
@@ -107,7 +107,7 @@
     {
         return { core::target_id( id ),
                  core::service_id( "plain" ),
-                 core::place_id( "here" ),
+                 core::data_centre_id( "here" ),
                  { "127.0.0.1", 1 } };
     }
 
@@ -143,7 +143,8 @@
     auto ticket( std::string const& key ) -> std::string
     {
         return gateway
-                   .entry( core::workspace_id( "w" ), core::place_id( "here" ) )
+                   .entry( core::workspace_id( "w" ),
+                           core::data_centre_id( "here" ) )
                    .ticket_prefix +
                key;
     }
--- a/tests/support/scripted_fleet.hpp
+++ b/tests/support/scripted_fleet.hpp
@@ -18,7 +18,7 @@
         for ( auto i = 0; i < count; ++i )
             identities.push_back( { core::target_id( name( i ) ),
                                     core::service_id( "model" ),
-                                    core::place_id( "here" ),
+                                    core::data_centre_id( "here" ),
                                     { "127.0.0.1", 1 } } );
         targets.replace( identities, time.now() );
         for ( auto i = 0; i < count; ++i )
--- a/tests/support/test_fleet.cpp
+++ b/tests/support/test_fleet.cpp
@@ -19,7 +19,7 @@
         identities_.push_back(
             { core::target_id( id ),
               core::service_id( "model" ),
-              core::place_id( "here" ),
+              core::data_centre_id( "here" ),
               { "127.0.0.1", static_cast<std::uint16_t>( 1000 + i ) } } );
     }
     add_instance();
