--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -77,7 +77,7 @@
     platform::target_calls target_calls_;
     platform::memory_orders memory_orders_;
     platform::header_speller speller_;
-    exchange::target_board board_;
+    exchange::load_table load_table_;
     exchange::crash_history crashes_;
     exchange::placement placement_;
     exchange::shared_retry_budget retries_;
--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -15,14 +15,14 @@
 using nlohmann::json;
 
 /// Requests a second that the target takes; null where it names no limit.
-auto limit_of( exchange::board_target const& t ) -> json
+auto limit_of( exchange::target_entry const& t ) -> json
 {
     auto const limit = t.limit.per_second();
     return limit ? json( *limit ) : json();
 }
 
 /// By all instances, as far as this one knows: all of it where it places.
-auto sent_per_second( exchange::board_target const& t, core::instant now )
+auto sent_per_second( exchange::target_entry const& t, core::instant now )
     -> double
 {
     return static_cast<double>( t.limit.sent_lately( now ) ) /
@@ -33,7 +33,7 @@
 {
     auto const now = context.scheduler.now();
     auto targets = json::array();
-    for ( auto const& [id, t] : context.board.all() )
+    for ( auto const& [id, t] : context.loads.all() )
         targets.push_back(
             { { "id", id.str() },
               { "service", t->facts.service.str() },
@@ -82,12 +82,12 @@
 /// Of so many limited targets at most, so that the text is bounded.
 constexpr auto most_limits_written = 50;
 
-auto write_limits( exchange::target_board const& board,
+auto write_limits( exchange::load_table const& loads,
                    core::instant now,
                    std::ostream& out ) -> void
 {
     auto limited = 0;
-    for ( auto const& [id, t] : board.all() )
+    for ( auto const& [id, t] : loads.all() )
     {
         auto const limit = t->limit.per_second();
         if ( !limit || !t->takes_work() || ++limited > most_limits_written )
@@ -157,7 +157,7 @@
     gauge( "pollenstream_store_known_until", registry.known_until().count() );
     gauge( "pollenstream_instances", group.size() );
     auto usable = 0;
-    for ( auto const& [id, t] : context.board.all() )
+    for ( auto const& [id, t] : context.loads.all() )
         usable += t->may_get_work( context.scheduler.now() ) ? 1 : 0;
     gauge( "pollenstream_targets_usable", usable );
     gauge( "pollenstream_quarantined_contents",
@@ -191,7 +191,7 @@
     for ( auto const& [name, times] : context.counters.unknown_headers.all() )
         count( "pollenstream_unknown_answer_headers_total",
                "{name=\"" + name + "\"}", times );
-    write_limits( context.board, context.scheduler.now(), out );
+    write_limits( context.loads, context.scheduler.now(), out );
     constexpr auto kinds =
         static_cast<int>( platform::store_call::number_of_kinds );
     for ( auto i = 0; i < kinds; ++i )
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -5,13 +5,13 @@
 #include <pollenstream/core/name_counts.hpp>
 #include <pollenstream/exchange/crash_history.hpp>
 #include <pollenstream/exchange/event_log.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/message.hpp>
 #include <pollenstream/exchange/placement.hpp>
 #include <pollenstream/exchange/placer.hpp>
 #include <pollenstream/exchange/reservation.hpp>
 #include <pollenstream/exchange/routes.hpp>
 #include <pollenstream/exchange/shared_retry_budget.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 #include <pollenstream/exchange/waiting_room.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
@@ -87,7 +87,7 @@
     target_caller& targets;
     request_speller const& speller;
     reservation_caller& reservations;
-    target_board& board;
+    load_table& loads;
     crash_history& crashes;
     placement& chooser; ///< for what this instance places by itself
     placer& asks;       ///< gets targets for prompts
--- a/src/pollenstream/exchange/crash_history.hpp
+++ b/src/pollenstream/exchange/crash_history.hpp
@@ -2,8 +2,8 @@
 #define POLLENSTREAM_EXCHANGE_CRASH_HISTORY_HPP
 
 #include <pollenstream/core/units.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/request_content.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 
 #include <cstddef>
 #include <functional>
--- a/src/pollenstream/exchange/engine_room.cpp
+++ b/src/pollenstream/exchange/engine_room.cpp
@@ -18,30 +18,30 @@
         static_cast<double>( speed.memory_tokens ) * usable_memory_share );
 }
 
-auto free_memory( engine_speed const& speed, board_target const& t )
+auto free_memory( engine_speed const& speed, target_entry const& t )
     -> std::int64_t
 {
     return usable_memory( speed ) - t.load.memory_tokens;
 }
 
-auto has_slot( engine_speed const& speed, board_target const& t ) -> bool
+auto has_slot( engine_speed const& speed, target_entry const& t ) -> bool
 {
     return t.load.requests < speed.slots;
 }
 
-auto pass_ms( engine_speed const& speed, board_target const& t ) -> double
+auto pass_ms( engine_speed const& speed, target_entry const& t ) -> double
 {
     return write_pass_ms( speed, t.load.writers, t.load.context_tokens );
 }
 
 auto part_time_ms( engine_speed const& speed,
-                   board_target const& t,
+                   target_entry const& t,
                    double read_ms ) -> double
 {
     return read_ms + ( t.load.writers > 0 ? pass_ms( speed, t ) : 0.0 );
 }
 
-auto harmed_by( board_target const& t, double pause_ms ) -> double
+auto harmed_by( target_entry const& t, double pause_ms ) -> double
 {
     auto harmed = 0.0;
     for ( auto const& [gap, group] : t.load.by_gap )
--- a/src/pollenstream/exchange/event_log.hpp
+++ b/src/pollenstream/exchange/event_log.hpp
@@ -3,10 +3,10 @@
 
 #include <pollenstream/core/ids.hpp>
 #include <pollenstream/core/units.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/message.hpp>
 #include <pollenstream/exchange/placement.hpp>
 #include <pollenstream/exchange/request_content.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 
 #include <cstdint>
 #include <string>
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -242,7 +242,7 @@
     demand_.patience_left = patience_until() - now;
     demand_.crashes = shared_.crashes.count( content_ );
     demand_.paused.clear();
-    for ( auto const& p : shared_.board.paused( demand_.service, now ) )
+    for ( auto const& p : shared_.loads.paused( demand_.service, now ) )
         demand_.paused.push_back( p.id );
     demand_.draw =
         std::uniform_real_distribution<double>( 0, 1 )( shared_.random );
@@ -258,7 +258,7 @@
         shared_.asks.places_for_all() ? limit_use::for_all : limit_use::unasked;
     auto result = shared_.chooser.choose( demand, *service_, now );
     if ( result.choice && demand.limits == limit_use::unasked )
-        shared_.board.note_unasked( result.choice->parts, now );
+        shared_.loads.note_unasked( result.choice->parts, now );
     return result;
 }
 
@@ -305,7 +305,7 @@
 
 auto exchange::release( std::uint64_t serial, work_outcome outcome ) -> void
 {
-    shared_.board.end_work( shared_.self, serial, shared_.scheduler.now() );
+    shared_.loads.end_work( shared_.self, serial, shared_.scheduler.now() );
     if ( !is_told_to_others() )
         return;
     shared_.asks.release( serial );
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -124,7 +124,7 @@
         -> bool;
     auto wait_for_room() -> void;
     [[nodiscard]] auto
-    is_usable( std::shared_ptr<board_target> const& target ) const -> bool;
+    is_usable( std::shared_ptr<target_entry> const& target ) const -> bool;
     auto begin_waiting() -> void;
     auto stop_waiting() -> void;
     auto on_no_memory( placement_grant const& grant, core::error const& why )
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -72,7 +72,7 @@
     from->heard_at = shared_.scheduler.now();
     from->watched_from = from->heard_at;
     if ( head.load )
-        shared_.board.note_told( from->target, *head.load, from->heard_at );
+        shared_.loads.note_told( from->target, *head.load, from->heard_at );
     if ( !head.wrong_target )
         note_told_state( *from, head );
     if ( !head.proves_not_run && !head.wrong_target )
@@ -166,7 +166,7 @@
     if ( current_->reading )
     {
         current_->reading = false;
-        shared_.board.end_reading( shared_.self, current_->serial, now );
+        shared_.loads.end_reading( shared_.self, current_->serial, now );
         shared_.announcer.reading_ended( current_->serial );
         shared_.room.poke();
     }
@@ -211,7 +211,7 @@
         lost.sent = true;
         return on_broken( lost );
     }
-    shared_.board.note_success( current_->target );
+    shared_.loads.note_success( current_->target );
     if ( is_success( head.status ) )
         note_served();
     auto const status = head.status;
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -86,13 +86,13 @@
     work.reading = route_->kind == request_kind::stream;
     work.is_suspect = is_suspect_;
     work.reserves = grant.choice.needs_reservation;
-    shared_.board.add_work( shared_.self, work, shared_.scheduler.now() );
+    shared_.loads.add_work( shared_.self, work, shared_.scheduler.now() );
     for ( auto const& target : grant.choice.targets )
         spends_limit_ = spends_limit_ || target->limit.per_second();
     if ( is_told_to_others() )
         shared_.announcer.work_began( work );
     else
-        shared_.board.note_untold( work.parts, shared_.scheduler.now() );
+        shared_.loads.note_untold( work.parts, shared_.scheduler.now() );
 }
 
 auto exchange::send( placement_grant const& grant,
@@ -111,7 +111,7 @@
                            first.takes_work() || memory,
                            "target " + first.facts.id.str() + " is leaving" );
     core::check_invariant( core::invariant::pause_holds,
-                           !shared_.board.is_paused( first.ref(), now ),
+                           !shared_.loads.is_paused( first.ref(), now ),
                            "target " + first.facts.id.str() + " is paused" );
     core::check_invariant( core::invariant::quarantine_holds, !is_quarantined(),
                            "content " + to_string( content_ ) + " sent" );
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -27,7 +27,7 @@
     auto const& target = from.target;
     shared_.crashes.note_answer( target, from.sent_at );
     if ( head.wants_pause > core::duration( 0 ) )
-        shared_.board.pause( target, from.heard_at + head.wants_pause );
+        shared_.loads.pause( target, from.heard_at + head.wants_pause );
     note_told_limit( from, head );
     for ( auto const& name : head.unknown_headers )
         if ( shared_.counters.unknown_headers.add( name ) )
@@ -36,7 +36,7 @@
                                                 "unknown",
                                                 "answer of " + target.id.str(),
                                                 {} } );
-    if ( !head.says_leaving || !shared_.board.note_said_leaving( target ) )
+    if ( !head.says_leaving || !shared_.loads.note_said_leaving( target ) )
         return;
     shared_.log.record( belief_changed{
         "target", target.id.str(), "leaving", "its own answer", {} } );
@@ -48,7 +48,7 @@
     -> void
 {
     auto const& target = from.target;
-    if ( head.has_bad_limit && shared_.board.note_bad_limit( target ) )
+    if ( head.has_bad_limit && shared_.loads.note_bad_limit( target ) )
         shared_.log.record( belief_changed{ "target",
                                             target.id.str(),
                                             "limit_unreadable",
@@ -59,7 +59,7 @@
                         !head.has_bad_limit );
     if ( !is_whole_statement )
         return;
-    auto const change = shared_.board.note_limit(
+    auto const change = shared_.loads.note_limit(
         target, { head.limit, from.sent_at, from.heard_at }, from.heard_at );
     if ( change == limit_change::none )
         return;
@@ -85,12 +85,12 @@
     auto const now = shared_.scheduler.now();
     auto const named = head.at_fault.empty()
                            ? nullptr
-                           : shared_.board.find_named( head.at_fault );
+                           : shared_.loads.find_by_name( head.at_fault );
     auto to_blame = named ? named->ref() : from.target;
     if ( head.wrong_target || to_blame != from.target )
     {
         // Gone, or of no use to others: certain at once, and for all.
-        shared_.board.shun( to_blame, now + blamed_time );
+        shared_.loads.shun( to_blame, now + blamed_time );
         shared_.announcer.target_shunned( to_blame, blamed_time );
     }
     else
@@ -98,7 +98,7 @@
         if ( needs_engine() )
             shared_.announcer.target_failed( to_blame,
                                              target_failure::turned_away );
-        else if ( shared_.board.note_failure( to_blame, now,
+        else if ( shared_.loads.note_failure( to_blame, now,
                                               target_failure::turned_away ) )
             shared_.announcer.target_shunned( to_blame, blamed_time );
     }
@@ -108,7 +108,7 @@
 /// Takes a failure over on the board, and tells those who place prompts.
 auto exchange::note_failure( target_ref const& target ) -> void
 {
-    shared_.board.note_failure( target, shared_.scheduler.now() );
+    shared_.loads.note_failure( target, shared_.scheduler.now() );
     if ( needs_engine() )
         shared_.announcer.target_failed( target, target_failure::failed );
 }
@@ -121,7 +121,7 @@
     if ( end.sent )
         return note_crash( which.target, end.error );
     // Nobody listens there: stronger evidence than a broken answer.
-    if ( shared_.board.note_failure( which.target, shared_.scheduler.now() ) )
+    if ( shared_.loads.note_failure( which.target, shared_.scheduler.now() ) )
         shared_.announcer.target_shunned( which.target, unreachable_time );
     --targets_reached_;
     ++connects_failed_;
--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -89,7 +89,7 @@
 /// only be read a second time elsewhere.
 auto exchange::tolerated_silence() const -> core::duration
 {
-    auto const at = shared_.board.find_lifetime( current_->target );
+    auto const at = shared_.loads.find_lifetime( current_->target );
     auto const reads_until = at ? at->load.read_until : core::instant{};
     auto const reading = std::clamp( reads_until - current_->watched_from,
                                      core::duration( 0 ), longest_reading );
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -101,7 +101,7 @@
     auto const& tried = demand_.tried;
     auto first = core::instant::max();
     for ( auto const& p :
-          shared_.board.paused( demand_.service, shared_.scheduler.now() ) )
+          shared_.loads.paused( demand_.service, shared_.scheduler.now() ) )
         if ( std::find( tried.begin(), tried.end(), p.id ) == tried.end() )
             first = std::min( first, p.until );
     return first;
@@ -121,11 +121,11 @@
     return true;
 }
 
-auto exchange::is_usable( std::shared_ptr<board_target> const& target ) const
+auto exchange::is_usable( std::shared_ptr<target_entry> const& target ) const
     -> bool
 {
     return target && target->takes_work() &&
-           !shared_.board.is_paused( target->ref(), shared_.scheduler.now() );
+           !shared_.loads.is_paused( target->ref(), shared_.scheduler.now() );
 }
 
 auto exchange::on_granted( std::uint64_t serial, placement_grant grant ) -> void
@@ -220,9 +220,9 @@
     return std::all_of( choice.targets.begin(), choice.targets.end(),
                         [this, now]( auto const& t )
                         {
-                            return shared_.board.find_lifetime( t->ref() ) ==
+                            return shared_.loads.find_lifetime( t->ref() ) ==
                                        t &&
-                                   !shared_.board.is_paused( t->ref(), now );
+                                   !shared_.loads.is_paused( t->ref(), now );
                         } );
 }
 
--- a/src/pollenstream/exchange/target_board.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -1,5 +1,5 @@
 #include <pollenstream/core/hash.hpp>
-#include <pollenstream/exchange/target_board.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -47,40 +47,41 @@
 
 }
 
-auto board_target::backlog_ms( core::instant now ) const -> double
+auto target_entry::backlog_ms( core::instant now ) const -> double
 {
     return std::max( 0.0, core::seconds_of( load.read_until - now ) * 1'000 );
 }
 
-auto target_board::put( target_facts facts ) -> board_change
+auto load_table::put( target_facts facts ) -> target_change
 {
     auto const entry = find( facts.id );
     if ( !entry || entry->facts.service != facts.service )
     {
         auto const leaving = facts.leaving;
         set_entry( std::move( facts ) );
-        return leaving ? board_change::starts_to_leave : board_change::added;
+        return leaving ? target_change::starts_to_leave : target_change::added;
     }
     if ( facts.lifetime < entry->facts.lifetime )
-        return board_change::none;
+        return target_change::none;
     if ( facts.lifetime > entry->facts.lifetime )
     {
         set_entry( std::move( facts ) );
-        return board_change::restarted;
+        return target_change::restarted;
     }
     auto const starts_to_leave = facts.leaving && !entry->facts.leaving;
     // A target that has begun to leave does not come back in one lifetime.
     facts.leaving = facts.leaving || entry->facts.leaving;
     entry->facts = std::move( facts );
     entry->gone = false;
-    return starts_to_leave ? board_change::starts_to_leave : board_change::none;
+    return starts_to_leave ? target_change::starts_to_leave
+                           : target_change::none;
 }
 
 /// Open work keeps the entry on which it was counted, so that what ends later
 /// is taken off there and not off the new entry.
-auto target_board::set_entry( target_facts facts ) -> void
+auto load_table::set_entry( target_facts facts ) -> void
 {
-    auto fresh = std::make_shared<board_target>();
+    auto fresh = std::make_shared<target_entry>();
     fresh->rank = core::stable_hash( facts.id.str() );
     fresh->facts = std::move( facts );
     pauses_.erase( fresh->facts.id );
@@ -92,7 +93,7 @@
     insert_in_order( fresh );
 }
 
-auto target_board::remove( core::target_id const& id ) -> void
+auto load_table::remove( core::target_id const& id ) -> void
 {
     auto const found = by_id_.find( id );
     if ( found == by_id_.end() )
@@ -102,7 +103,7 @@
     limited_.erase( id );
 }
 
-auto target_board::mark_gone( core::target_id const& id ) -> void
+auto load_table::mark_gone( core::target_id const& id ) -> void
 {
     auto const at = find( id );
     if ( at )
@@ -112,7 +113,7 @@
 /// One place is found, instead of sorting all anew: a process that starts
 /// before 3,000 targets puts them in 0.003 s instead of 0.28 s (one core, in
 /// process).
-auto target_board::insert_in_order( std::shared_ptr<board_target> const& entry )
+auto load_table::insert_in_order( std::shared_ptr<target_entry> const& entry )
     -> void
 {
     auto& order = by_service_[entry->facts.service];
@@ -124,28 +125,28 @@
     order.insert( at, entry );
 }
 
-auto target_board::erase_from_order(
-    std::shared_ptr<board_target> const& entry ) -> void
+auto load_table::erase_from_order( std::shared_ptr<target_entry> const& entry )
+    -> void
 {
     std::erase( by_service_[entry->facts.service], entry );
 }
 
-auto target_board::find( core::target_id const& id ) const
-    -> std::shared_ptr<board_target>
+auto load_table::find( core::target_id const& id ) const
+    -> std::shared_ptr<target_entry>
 {
     auto const found = by_id_.find( id );
     return found == by_id_.end() ? nullptr : found->second;
 }
 
-auto target_board::find_lifetime( target_ref const& ref ) const
-    -> std::shared_ptr<board_target>
+auto load_table::find_lifetime( target_ref const& ref ) const
+    -> std::shared_ptr<target_entry>
 {
     auto const at = find( ref.id );
     return at && at->facts.lifetime == ref.lifetime ? at : nullptr;
 }
 
-auto target_board::find_named( std::string const& name ) const
-    -> std::shared_ptr<board_target>
+auto load_table::find_by_name( std::string const& name ) const
+    -> std::shared_ptr<target_entry>
 {
     if ( auto by_id = find( core::target_id( name ) ) )
         return by_id;
@@ -156,16 +157,16 @@
     return nullptr;
 }
 
-auto target_board::of_service( core::service_id const& id ) const
-    -> std::vector<std::shared_ptr<board_target>> const&
+auto load_table::of_service( core::service_id const& id ) const
+    -> std::vector<std::shared_ptr<target_entry>> const&
 {
-    static auto const none = std::vector<std::shared_ptr<board_target>>{};
+    static auto const none = std::vector<std::shared_ptr<target_entry>>{};
     auto const found = by_service_.find( id );
     return found == by_service_.end() ? none : found->second;
 }
 
-auto target_board::arrivals_per_second( core::service_id const& id,
-                                        core::instant now ) const -> double
+auto load_table::arrivals_per_second( core::service_id const& id,
+                                      core::instant now ) const -> double
 {
     auto const found = arrivals_.find( id );
     if ( found == arrivals_.end() )
@@ -174,8 +175,8 @@
     return found->second.per_second * std::exp( -age / rate_seconds );
 }
 
-auto target_board::reading_share( core::service_id const& id,
-                                  core::instant now ) const -> double
+auto load_table::reading_share( core::service_id const& id,
+                                core::instant now ) const -> double
 {
     auto const found = arrivals_.find( id );
     auto const targets = static_cast<double>( of_service( id ).size() );
@@ -186,9 +187,9 @@
            ( reading_seconds * 1'000 * targets );
 }
 
-auto target_board::note_arrival( core::service_id const& id,
-                                 open_work const& work,
-                                 core::instant now ) -> void
+auto load_table::note_arrival( core::service_id const& id,
+                               open_work const& work,
+                               core::instant now ) -> void
 {
     auto& rate = arrivals_[id];
     auto const age = core::seconds_of( now - rate.at );
@@ -200,7 +201,7 @@
     rate.at = now;
 }
 
-auto target_board::count_reading( known_work& known, core::instant now ) -> void
+auto load_table::count_reading( known_work& known, core::instant now ) -> void
 {
     known.reading_counted = true;
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
@@ -215,8 +216,7 @@
     }
 }
 
-auto target_board::uncount_reading( known_work& known, core::instant now )
-    -> void
+auto load_table::uncount_reading( known_work& known, core::instant now ) -> void
 {
     if ( !std::exchange( known.reading_counted, false ) )
         return;
@@ -232,7 +232,7 @@
     }
 }
 
-auto target_board::count_sent( known_work const& known ) -> void
+auto load_table::count_sent( known_work const& known ) -> void
 {
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
         if ( known.at[i] )
@@ -240,7 +240,7 @@
                                           known.work.requests_at( i ) );
 }
 
-auto target_board::count_memory( known_work const& known, std::int64_t sign )
+auto load_table::count_memory( known_work const& known, std::int64_t sign )
     -> void
 {
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
@@ -249,7 +249,7 @@
                 sign * known.work.parts[i].memory_tokens;
 }
 
-auto target_board::count_writer( known_work const& known, std::int64_t sign )
+auto load_table::count_writer( known_work const& known, std::int64_t sign )
     -> void
 {
     if ( known.at.empty() || !known.at.front() )
@@ -259,7 +259,7 @@
     load.context_tokens += sign * known.work.context_tokens;
 }
 
-auto target_board::lacks_known_target( known_work const& known ) const -> bool
+auto load_table::lacks_known_target( known_work const& known ) const -> bool
 {
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
     {
@@ -270,9 +270,9 @@
     return false;
 }
 
-auto target_board::add_work( core::instance_id const& owner,
-                             open_work const& work,
-                             core::instant now ) -> void
+auto load_table::add_work( core::instance_id const& owner,
+                           open_work const& work,
+                           core::instant now ) -> void
 {
     auto const [at, is_new] = works_[owner].try_emplace(
         work.serial, known_work{ work, {}, false, now - work.sent_ago } );
@@ -310,9 +310,9 @@
     group.weight += weight_of( known.work.context_tokens );
 }
 
-auto target_board::end_reading( core::instance_id const& owner,
-                                std::uint64_t serial,
-                                core::instant now ) -> void
+auto load_table::end_reading( core::instance_id const& owner,
+                              std::uint64_t serial,
+                              core::instant now ) -> void
 {
     auto& works = works_[owner];
     auto const found = works.find( serial );
@@ -324,7 +324,7 @@
     count_writer( known, 1 );
 }
 
-auto target_board::uncount( known_work& known, core::instant now ) -> void
+auto load_table::uncount( known_work& known, core::instant now ) -> void
 {
     uncount_reading( known, now );
     if ( !known.work.reading )
@@ -343,9 +343,9 @@
         load.by_gap.erase( gap );
 }
 
-auto target_board::end_work( core::instance_id const& owner,
-                             std::uint64_t serial,
-                             core::instant now ) -> void
+auto load_table::end_work( core::instance_id const& owner,
+                           std::uint64_t serial,
+                           core::instant now ) -> void
 {
     auto& works = works_[owner];
     auto const found = works.find( serial );
@@ -355,9 +355,9 @@
     works.erase( found );
 }
 
-auto target_board::end_served_work( core::instance_id const& owner,
-                                    std::uint64_t serial,
-                                    core::instant now ) -> void
+auto load_table::end_served_work( core::instance_id const& owner,
+                                  std::uint64_t serial,
+                                  core::instant now ) -> void
 {
     auto const works = works_.find( owner );
     if ( works == works_.end() )
@@ -371,8 +371,8 @@
     end_work( owner, serial, now );
 }
 
-auto target_board::end_all_work( core::instance_id const& owner,
-                                 core::instant now ) -> void
+auto load_table::end_all_work( core::instance_id const& owner,
+                               core::instant now ) -> void
 {
     auto const found = works_.find( owner );
     if ( found == works_.end() )
@@ -382,8 +382,8 @@
     works_.erase( found );
 }
 
-auto target_board::works_of( core::instance_id const& owner,
-                             core::instant now ) const -> std::vector<open_work>
+auto load_table::works_of( core::instance_id const& owner,
+                           core::instant now ) const -> std::vector<open_work>
 {
     auto result = std::vector<open_work>{};
     auto const found = works_.find( owner );
@@ -398,9 +398,9 @@
     return result;
 }
 
-auto target_board::note_failure( target_ref const& ref,
-                                 core::instant now,
-                                 target_failure how ) -> bool
+auto load_table::note_failure( target_ref const& ref,
+                               core::instant now,
+                               target_failure how ) -> bool
 {
     auto const at = find_lifetime( ref );
     if ( !at )
@@ -422,7 +422,7 @@
     return !was_shunned;
 }
 
-auto target_board::note_success( target_ref const& ref ) -> void
+auto load_table::note_success( target_ref const& ref ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( !at )
@@ -431,15 +431,15 @@
     at->health.failure_share *= failure_decay;
 }
 
-auto target_board::note_said_leaving( target_ref const& ref ) -> bool
+auto load_table::note_said_leaving( target_ref const& ref ) -> bool
 {
     auto const at = find_lifetime( ref );
     return at && !std::exchange( at->said_leaving, true );
 }
 
-auto target_board::note_limit( target_ref const& ref,
-                               limit_statement const& what,
-                               core::instant now ) -> limit_change
+auto load_table::note_limit( target_ref const& ref,
+                             limit_statement const& what,
+                             core::instant now ) -> limit_change
 {
     auto const at = find_lifetime( ref );
     if ( !at )
@@ -450,24 +450,24 @@
     return change;
 }
 
-auto target_board::note_unasked( std::vector<work_part> const& parts,
-                                 core::instant now ) -> void
+auto load_table::note_unasked( std::vector<work_part> const& parts,
+                               core::instant now ) -> void
 {
     for ( auto const& part : parts )
         if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
             at->limit.note_unasked( now );
 }
 
-auto target_board::note_untold( std::vector<work_part> const& parts,
-                                core::instant now ) -> void
+auto load_table::note_untold( std::vector<work_part> const& parts,
+                              core::instant now ) -> void
 {
     for ( auto const& part : parts )
         if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
             at->limit.note_untold( now );
 }
 
-auto target_board::note_sent( target_ref const& ref,
-                              std::vector<core::instant> const& times ) -> void
+auto load_table::note_sent( target_ref const& ref,
+                            std::vector<core::instant> const& times ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( !at )
@@ -476,14 +476,14 @@
         at->limit.note_sent( time, 1 );
 }
 
-auto target_board::take_untold( target_ref const& ref, core::instant now )
+auto load_table::take_untold( target_ref const& ref, core::instant now )
     -> std::vector<core::instant>
 {
     auto const at = find_lifetime( ref );
     return at ? at->limit.take_untold( now ) : std::vector<core::instant>{};
 }
 
-auto target_board::limited() const -> std::vector<target_ref>
+auto load_table::limited() const -> std::vector<target_ref>
 {
     auto refs = std::vector<target_ref>{};
     for ( auto const& id : limited_ )
@@ -492,20 +492,20 @@
     return refs;
 }
 
-auto target_board::note_bad_limit( target_ref const& ref ) -> bool
+auto load_table::note_bad_limit( target_ref const& ref ) -> bool
 {
     auto const at = find_lifetime( ref );
     return at && !std::exchange( at->said_bad_limit, true );
 }
 
-auto target_board::shun( target_ref const& ref, core::instant until ) -> void
+auto load_table::shun( target_ref const& ref, core::instant until ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( at )
         at->health.shunned_until = std::max( at->health.shunned_until, until );
 }
 
-auto target_board::pause( target_ref const& ref, core::instant until ) -> void
+auto load_table::pause( target_ref const& ref, core::instant until ) -> void
 {
     if ( !find_lifetime( ref ) )
         return;
@@ -513,16 +513,15 @@
     end = std::max( end, until );
 }
 
-auto target_board::is_paused( target_ref const& ref, core::instant now ) const
+auto load_table::is_paused( target_ref const& ref, core::instant now ) const
     -> bool
 {
     auto const found = pauses_.find( ref.id );
     return found != pauses_.end() && found->second > now;
 }
 
-auto target_board::paused( core::service_id const& service,
-                           core::instant now ) const
-    -> std::vector<paused_target>
+auto load_table::paused( core::service_id const& service,
+                         core::instant now ) const -> std::vector<paused_target>
 {
     auto all = std::vector<paused_target>{};
     for ( auto const& [id, until] : pauses_ )
@@ -534,9 +533,9 @@
     return all;
 }
 
-auto target_board::note_told( target_ref const& ref,
-                              told_load load,
-                              core::instant now ) -> void
+auto load_table::note_told( target_ref const& ref,
+                            told_load load,
+                            core::instant now ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( !at )
--- a/src/pollenstream/exchange/target_board.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_TARGET_BOARD_HPP
-#define POLLENSTREAM_EXCHANGE_TARGET_BOARD_HPP
+#ifndef POLLENSTREAM_EXCHANGE_LOAD_TABLE_HPP
+#define POLLENSTREAM_EXCHANGE_LOAD_TABLE_HPP
 
 #include <pollenstream/core/address.hpp>
 #include <pollenstream/core/ids.hpp>
@@ -140,7 +140,7 @@
 };
 
 /// One target on the board.
-struct board_target
+struct target_entry
 {
     target_facts facts;
     std::uint64_t rank{ 0 }; ///< same order on every instance
@@ -183,7 +183,7 @@
 };
 
 /// What new facts about a target have changed.
-enum class board_change
+enum class target_change
 {
     none,      ///< known before, or news of a former lifetime
     added,     ///< not known before
@@ -193,32 +193,32 @@
 
 /// All targets with all open work on them, as far as this instance knows.
 /// Used by one thread.
-class target_board
+class load_table
 {
 public:
     using target_map =
-        std::unordered_map<core::target_id, std::shared_ptr<board_target>>;
+        std::unordered_map<core::target_id, std::shared_ptr<target_entry>>;
 
     /// Adds a target or takes over what has changed of it. A later lifetime is
     /// a new target: open work, memory, load and failures of the former one are
     /// not counted on it. Facts of a former lifetime change nothing.
-    auto put( target_facts facts ) -> board_change;
+    auto put( target_facts facts ) -> target_change;
     auto remove( core::target_id const& id ) -> void;
     /// The registry no longer lists the target: it gets no new work unless
     /// its entry comes back.
     auto mark_gone( core::target_id const& id ) -> void;
 
     [[nodiscard]] auto find( core::target_id const& id ) const
-        -> std::shared_ptr<board_target>;
+        -> std::shared_ptr<target_entry>;
     /// Null where the target's present lifetime is another one.
     [[nodiscard]] auto find_lifetime( target_ref const& ref ) const
-        -> std::shared_ptr<board_target>;
+        -> std::shared_ptr<target_entry>;
     /// The target that `name` means: its id, or its IP:PORT; null for neither.
-    [[nodiscard]] auto find_named( std::string const& name ) const
-        -> std::shared_ptr<board_target>;
+    [[nodiscard]] auto find_by_name( std::string const& name ) const
+        -> std::shared_ptr<target_entry>;
     /// Targets of a service in the order of their ranks.
     [[nodiscard]] auto of_service( core::service_id const& id ) const
-        -> std::vector<std::shared_ptr<board_target>> const&;
+        -> std::vector<std::shared_ptr<target_entry>> const&;
     [[nodiscard]] auto all() const -> target_map const&
     {
         return by_id_;
@@ -293,7 +293,7 @@
         return shares_;
     }
     /// False where a limit that the target names keeps requests from it now.
-    [[nodiscard]] auto may_send( board_target const& target,
+    [[nodiscard]] auto may_send( target_entry const& target,
                                  limit_use use,
                                  core::instant now ) const -> bool
     {
@@ -332,7 +332,7 @@
     struct known_work
     {
         open_work work;
-        std::vector<std::shared_ptr<board_target>> at;
+        std::vector<std::shared_ptr<target_entry>> at;
         bool reading_counted{ false };
         core::instant sent_at;
     };
@@ -360,13 +360,13 @@
     static auto count_writer( known_work const& known, std::int64_t sign )
         -> void;
     auto uncount( known_work& known, core::instant now ) -> void;
-    auto insert_in_order( std::shared_ptr<board_target> const& entry ) -> void;
-    auto erase_from_order( std::shared_ptr<board_target> const& entry ) -> void;
+    auto insert_in_order( std::shared_ptr<target_entry> const& entry ) -> void;
+    auto erase_from_order( std::shared_ptr<target_entry> const& entry ) -> void;
     auto set_entry( target_facts facts ) -> void;
 
     target_map by_id_;
     std::unordered_map<core::service_id,
-                       std::vector<std::shared_ptr<board_target>>>
+                       std::vector<std::shared_ptr<target_entry>>>
         by_service_;
     std::unordered_map<core::instance_id, work_map> works_;
     std::unordered_map<core::service_id, arrival_rate> arrivals_;
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -63,7 +63,7 @@
 
 /// True where long prompts wait, or take many of the engines.
 auto long_ones_press( placement_demand const& demand,
-                      std::vector<std::shared_ptr<board_target>> const& targets,
+                      std::vector<std::shared_ptr<target_entry>> const& targets,
                       core::instant now ) -> bool
 {
     if ( demand.others_in_time )
@@ -81,7 +81,7 @@
 /// An engine that may take a short prompt.
 struct short_option
 {
-    std::shared_ptr<board_target> target;
+    std::shared_ptr<target_entry> target;
     double first_ms{ 0 }; ///< predicted first event, from now
     double room{ 0 };     ///< requests that it may still take
     /// Short prompts that it may read at once, this one included, before the
@@ -92,7 +92,7 @@
 /// `target` as it is for a short prompt that reads for `own_read_ms`.
 auto option_for( placement_demand const& demand,
                  engine_speed const& speed,
-                 std::shared_ptr<board_target> const& target,
+                 std::shared_ptr<target_entry> const& target,
                  double own_read_ms,
                  core::instant now ) -> short_option
 {
@@ -105,7 +105,7 @@
     return option;
 }
 
-auto room_of( board_target const& t, std::int64_t most ) -> double
+auto room_of( target_entry const& t, std::int64_t most ) -> double
 {
     return static_cast<double>( most - t.load.requests );
 }
@@ -126,7 +126,7 @@
 }
 
 /// False for what the request is not to be sent to.
-auto is_left( placement_demand const& demand, board_target const& target )
+auto is_left( placement_demand const& demand, target_entry const& target )
     -> bool
 {
     return target.takes_work() && !contains( demand.tried, target.facts.id ) &&
@@ -135,7 +135,7 @@
 
 /// True where a limit leaves room for as many requests as the target serves at
 /// once: its slots bind before the limit does, as those of others.
-auto has_ample_limit( board_target const& target, core::instant now ) -> bool
+auto has_ample_limit( target_entry const& target, core::instant now ) -> bool
 {
     auto const limit = target.limit.per_second();
     auto const in_window =
@@ -144,7 +144,7 @@
     return in_window - sent >= static_cast<double>( target.facts.slots );
 }
 
-auto basis_of( std::vector<std::shared_ptr<board_target>> const& targets,
+auto basis_of( std::vector<std::shared_ptr<target_entry>> const& targets,
                core::instant now ) -> choice_basis
 {
     auto const& first = targets.front()->load;
@@ -180,9 +180,9 @@
            ms_of( demand.tightest_gap ) * long_part_of_gap;
 }
 
-placement::placement( target_board const& board,
+placement::placement( load_table const& loads,
                       core::data_centre_id own_data_centre )
-    : board_( board ), own_data_centre_( std::move( own_data_centre ) )
+    : load_table_( loads ), own_data_centre_( std::move( own_data_centre ) )
 {
 }
 
@@ -190,11 +190,11 @@
                          core::instant now ) const -> target_options
 {
     auto found = target_options{};
-    for ( auto const& t : board_.of_service( demand.service ) )
+    for ( auto const& t : load_table_.of_service( demand.service ) )
     {
         if ( !is_left( demand, *t ) )
             continue;
-        if ( !board_.may_send( *t, demand.limits, now ) )
+        if ( !load_table_.may_send( *t, demand.limits, now ) )
             found.more = true;
         else if ( !t->may_get_work( now ) )
             found.shunned.push_back( t );
@@ -211,13 +211,13 @@
     -> std::optional<limited_room>
 {
     auto room = limited_room{ core::instant::max(), 0 };
-    for ( auto const& t : board_.of_service( demand.service ) )
+    for ( auto const& t : load_table_.of_service( demand.service ) )
     {
         if ( !t->limit.per_second() || !is_left( demand, *t ) )
             continue;
         room.first = std::min(
-            room.first, t->limit.next( demand.limits, board_.shares() ) );
-        room.per_second += t->limit.rate( demand.limits, board_.shares() );
+            room.first, t->limit.next( demand.limits, load_table_.shares() ) );
+        room.per_second += t->limit.rate( demand.limits, load_table_.shares() );
     }
     return room.per_second > 0 ? std::optional( room ) : std::nullopt;
 }
@@ -234,7 +234,7 @@
     return std::any_of( demand.paused.begin(), demand.paused.end(),
                         [&]( auto const& id )
                         {
-                            auto const at = board_.find( id );
+                            auto const at = load_table_.find( id );
                             return at && at->takes_work() &&
                                    !contains( demand.tried, id );
                         } );
@@ -369,7 +369,7 @@
                               core::instant now ) const -> placement_result
 {
     constexpr auto told_is_fresh = core::duration( 100'000 );
-    auto best = std::shared_ptr<board_target>{};
+    auto best = std::shared_ptr<target_entry>{};
     auto best_load = std::numeric_limits<double>::infinity();
     for ( auto const& t : targets )
     {
@@ -406,8 +406,8 @@
     auto const packed = static_cast<std::int64_t>(
         std::ceil( static_cast<double>( speed.slots ) * packed_share ) );
     auto const window = std::max(
-        least_spread,
-        board_.arrivals_per_second( demand.service, now ) * unseen_seconds );
+        least_spread, load_table_.arrivals_per_second( demand.service, now ) *
+                          unseen_seconds );
     auto const pressing = long_ones_press( demand, targets, now );
     auto preferred = std::vector<short_option>{};
     auto others = std::vector<short_option>{};
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -3,8 +3,8 @@
 
 #include <pollenstream/core/ids.hpp>
 #include <pollenstream/core/units.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/routes.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 
 #include <cstdint>
 #include <memory>
@@ -58,7 +58,7 @@
 /// parts of the prompt.
 struct placement_choice
 {
-    std::vector<std::shared_ptr<board_target>> targets;
+    std::vector<std::shared_ptr<target_entry>> targets;
     std::vector<work_part> parts; ///< one for each target
     double first_event_ms{ 0 };   ///< predicted, from now
     /// The parts' memory has to be reserved first: no target holds the whole
@@ -94,7 +94,7 @@
 /// Targets that are left for a request, by what speaks against them.
 struct target_options
 {
-    using list = std::vector<std::shared_ptr<board_target>>;
+    using list = std::vector<std::shared_ptr<target_entry>>;
 
     list free;          ///< that name no limit
     list limited;       ///< that do, and have room for one request now
@@ -121,8 +121,7 @@
 class placement
 {
 public:
-    placement( target_board const& board,
-               core::data_centre_id own_data_centre );
+    placement( load_table const& loads, core::data_centre_id own_data_centre );
 
     /// The targets for `demand` among those that may get work now.
     [[nodiscard]] auto choose( placement_demand const& demand,
@@ -147,7 +146,7 @@
         -> core::duration;
 
 private:
-    using candidates = std::vector<std::shared_ptr<board_target>>;
+    using candidates = std::vector<std::shared_ptr<target_entry>>;
 
     [[nodiscard]] auto choose_among( candidates const& targets,
                                      placement_demand const& demand,
@@ -204,7 +203,7 @@
                                         core::instant now ) const
         -> placement_result;
 
-    target_board const& board_;
+    load_table const& load_table_;
     core::data_centre_id own_data_centre_;
 };
 
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -132,7 +132,7 @@
     -> void
 {
     auto& demand = ask.demand;
-    auto const& wide = owner_.board_.wide();
+    auto const& wide = owner_.load_table_.wide();
     demand.waited = now - received_;
     demand.time_left = deadline_ - now;
     demand.patience_left = waits_until( now ) - now;
@@ -243,13 +243,13 @@
 auto placement_coordinator::queued_prompt::enter_wide_queue() -> void
 {
     if ( is_wide_ && !std::exchange( in_wide_queue_, true ) )
-        owner_.board_.wide().enter( due() );
+        owner_.load_table_.wide().enter( due() );
 }
 
 auto placement_coordinator::queued_prompt::leave_wide_queue() -> void
 {
     if ( std::exchange( in_wide_queue_, false ) )
-        owner_.board_.wide().leave( due() );
+        owner_.load_table_.wide().leave( due() );
 }
 
 auto placement_coordinator::queued_prompt::wait() -> void
@@ -294,12 +294,12 @@
 
 placement_coordinator::placement_coordinator( core::instance_id self,
                                               ports::scheduler& scheduler,
-                                              target_board& board,
+                                              load_table& loads,
                                               crash_history& crashes,
                                               placement& chooser,
                                               waiting_room& room,
                                               event_log& log )
-    : self_( std::move( self ) ), scheduler_( scheduler ), board_( board ),
+    : self_( std::move( self ) ), scheduler_( scheduler ), load_table_( loads ),
       crashes_( crashes ), chooser_( chooser ), room_( room ), log_( log ),
       random_( static_cast<std::uint32_t>(
           std::hash<std::string>{}( self_.str() ) ) )
@@ -380,12 +380,13 @@
     auto const now = scheduler_.now();
     auto const use = who.ask.demand.limits;
     for ( auto const& target : choice.targets )
-        core::check_invariant(
-            core::invariant::limit_holds, board_.may_send( *target, use, now ),
-            "target " + target->facts.id.str() + " is granted over its limit" );
+        core::check_invariant( core::invariant::limit_holds,
+                               load_table_.may_send( *target, use, now ),
+                               "target " + target->facts.id.str() +
+                                   " is granted over its limit" );
     if ( use == limit_use::unasked )
-        board_.note_unasked( work.parts, now );
-    board_.add_work( who.ask.asker, work, now );
+        load_table_.note_unasked( work.parts, now );
+    load_table_.add_work( who.ask.asker, work, now );
 }
 
 auto placement_coordinator::runs_now( content_id content ) const -> bool
@@ -467,7 +468,7 @@
         room_.remove( who.get() );
     }
     granted_.erase( name );
-    board_.end_work( asker, serial, scheduler_.now() );
+    load_table_.end_work( asker, serial, scheduler_.now() );
 }
 
 auto placement_coordinator::keep_only( core::instance_id const& asker,
--- a/src/pollenstream/exchange/placement_coordinator.hpp
+++ b/src/pollenstream/exchange/placement_coordinator.hpp
@@ -4,9 +4,9 @@
 #include <pollenstream/core/counter.hpp>
 #include <pollenstream/exchange/crash_history.hpp>
 #include <pollenstream/exchange/event_log.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/placer.hpp>
 #include <pollenstream/exchange/routes.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 #include <pollenstream/exchange/waiting_room.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
@@ -42,7 +42,7 @@
 public:
     placement_coordinator( core::instance_id self,
                            ports::scheduler& scheduler,
-                           target_board& board,
+                           load_table& loads,
                            crash_history& crashes,
                            placement& chooser,
                            waiting_room& room,
@@ -110,7 +110,7 @@
 
     core::instance_id self_;
     ports::scheduler& scheduler_;
-    target_board& board_;
+    load_table& load_table_;
     crash_history& crashes_;
     placement& chooser_;
     waiting_room& room_;
--- a/src/pollenstream/exchange/placement_lateness.cpp
+++ b/src/pollenstream/exchange/placement_lateness.cpp
@@ -36,7 +36,7 @@
                                   service_settings const& service ) const
     -> core::duration
 {
-    auto const engines = board_.of_service( demand.service ).size();
+    auto const engines = load_table_.of_service( demand.service ).size();
     return core::duration_of( shortest_ms( demand, *service.engine, engines ) /
                               1'000 );
 }
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -36,7 +36,7 @@
 /// Answers that an engine writes from which it counts as busy.
 constexpr auto busy_requests = std::int64_t{ 5 };
 
-auto part_cost( std::vector<std::shared_ptr<board_target>> const& targets,
+auto part_cost( std::vector<std::shared_ptr<target_entry>> const& targets,
                 core::instant now ) -> double
 {
     auto const busy =
@@ -54,7 +54,7 @@
 /// What placing a prompt of `total_ms` of reading in at most `most_parts` of
 /// the engines may cost others.
 auto limit_for( placement_demand const& demand,
-                std::vector<std::shared_ptr<board_target>> const& targets,
+                std::vector<std::shared_ptr<target_entry>> const& targets,
                 std::size_t most_parts,
                 double total_ms,
                 core::instant now ) -> harm_limit
@@ -177,7 +177,8 @@
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
     auto const most = usable_memory( speed );
-    auto const service_targets = board_.of_service( demand.service ).size();
+    auto const service_targets =
+        load_table_.of_service( demand.service ).size();
     if ( memory > most * static_cast<std::int64_t>(
                              std::min( service_targets, most_helpers ) ) )
         return nothing( no_choice::too_large );
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -56,7 +56,7 @@
 constexpr auto impatient_harm = 0.45;
 
 /// Weight of the requests at `t` that tolerate pauses below `tight_gap_ms`.
-auto tightest_weight( board_target const& t ) -> double
+auto tightest_weight( target_entry const& t ) -> double
 {
     return harmed_by( t, tight_gap_ms );
 }
@@ -102,7 +102,7 @@
 }
 
 auto reader_of( engine_speed const& speed,
-                std::shared_ptr<board_target> const& t,
+                std::shared_ptr<target_entry> const& t,
                 double part_ms,
                 core::instant now ) -> long_reader
 {
@@ -113,7 +113,7 @@
 }
 
 auto readers_of( engine_speed const& speed,
-                 std::vector<std::shared_ptr<board_target>> const& targets,
+                 std::vector<std::shared_ptr<target_entry>> const& targets,
                  double part_ms,
                  std::int64_t memory,
                  core::instant now ) -> std::vector<long_reader>
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -29,7 +29,7 @@
 /// An engine that may read a part of a long prompt.
 struct long_reader
 {
-    std::shared_ptr<board_target> target;
+    std::shared_ptr<target_entry> target;
     double backlog_ms{ 0 };
     double harm{ 0 };  ///< weight of the requests whose pauses would be late
     double tight{ 0 }; ///< weight of the requests that tolerate least
@@ -61,7 +61,7 @@
 /// The reader that `t` would be for a part of `part_ms`, with what that does to
 /// the requests there.
 auto reader_of( engine_speed const& speed,
-                std::shared_ptr<board_target> const& t,
+                std::shared_ptr<target_entry> const& t,
                 double part_ms,
                 core::instant now ) -> long_reader;
 
@@ -77,7 +77,7 @@
 /// days; error 0.009); on 14 to 18 engines it is within the error of 0.006 (30
 /// days with trouble).
 auto readers_of( engine_speed const& speed,
-                 std::vector<std::shared_ptr<board_target>> const& targets,
+                 std::vector<std::shared_ptr<target_entry>> const& targets,
                  double part_ms,
                  std::int64_t memory,
                  core::instant now ) -> std::vector<long_reader>;
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -34,11 +34,11 @@
                         std::vector<std::string> seed_ips,
                         ports::scheduler& scheduler,
                         datagram_sender& sender,
-                        exchange::target_board& board,
+                        exchange::load_table& loads,
                         exchange::crash_history& crashes,
                         exchange::event_log& log )
     : self_( std::move( self ) ), seed_ips_( std::move( seed_ips ) ),
-      scheduler_( scheduler ), sender_( sender ), board_( board ),
+      scheduler_( scheduler ), sender_( sender ), load_table_( loads ),
       crashes_( crashes ), log_( log ), table_( self_, scheduler.now() ),
       started_( scheduler.now() )
 {
@@ -289,7 +289,7 @@
 {
     auto message = base_message();
     message.complete = true;
-    message.work = board_.works_of( self_.id, scheduler_.now() );
+    message.work = load_table_.works_of( self_.id, scheduler_.now() );
     if ( handler_ != nullptr )
         message.undecided = handler_->undecided();
     message.known_ips = some_ips();
@@ -370,7 +370,7 @@
 auto peer_group::lose( core::instance_id const& id, std::string because )
     -> void
 {
-    board_.end_all_work( id, scheduler_.now() );
+    load_table_.end_all_work( id, scheduler_.now() );
     if ( auto const* const p = table_.find( id ) )
         note( *p, "silent", std::move( because ) );
     if ( handler_ != nullptr )
@@ -434,7 +434,7 @@
     auto const& p = *table_.find( message.sender );
     if ( change.is_restarted )
     {
-        board_.end_all_work( message.sender, now );
+        load_table_.end_all_work( message.sender, now );
         if ( handler_ != nullptr )
             handler_->on_lost( message.sender );
     }
@@ -496,11 +496,11 @@
         handler_->on_open( message.sender, open );
     auto freed = false;
     for ( auto const& work :
-          board_.works_of( message.sender, scheduler_.now() ) )
+          load_table_.works_of( message.sender, scheduler_.now() ) )
     {
         if ( open.contains( work.serial ) )
             continue;
-        board_.end_work( message.sender, work.serial, scheduler_.now() );
+        load_table_.end_work( message.sender, work.serial, scheduler_.now() );
         freed = true;
     }
     return freed;
@@ -509,7 +509,7 @@
 auto peer_group::release( core::instance_id const& owner, std::uint64_t serial )
     -> void
 {
-    board_.end_work( owner, serial, scheduler_.now() );
+    load_table_.end_work( owner, serial, scheduler_.now() );
     if ( handler_ != nullptr )
         handler_->on_released( owner, serial );
 }
@@ -520,12 +520,12 @@
     auto freed = !message.ended.empty() || !message.served.empty() ||
                  !message.reading_ended.empty();
     for ( auto const& work : message.work )
-        board_.add_work( message.sender, work, now );
+        load_table_.add_work( message.sender, work, now );
     for ( auto const serial : message.reading_ended )
-        board_.end_reading( message.sender, serial, now );
+        load_table_.end_reading( message.sender, serial, now );
     for ( auto const serial : message.served )
     {
-        board_.end_served_work( message.sender, serial, now );
+        load_table_.end_served_work( message.sender, serial, now );
         release( message.sender, serial );
     }
     for ( auto const serial : message.ended )
@@ -533,9 +533,10 @@
     if ( message.complete )
         freed = take_open( message ) || freed;
     for ( auto const& f : message.failed )
-        board_.note_failure( f.target, now, f.how );
+        load_table_.note_failure( f.target, now, f.how );
     for ( auto const& s : message.shunned )
-        board_.shun( s.target, now + std::chrono::milliseconds( s.time_ms ) );
+        load_table_.shun( s.target,
+                          now + std::chrono::milliseconds( s.time_ms ) );
     if ( freed && on_load_changed )
         on_load_changed();
 }
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -4,7 +4,7 @@
 #include <pollenstream/core/counter.hpp>
 #include <pollenstream/exchange/context.hpp>
 #include <pollenstream/exchange/event_log.hpp>
-#include <pollenstream/exchange/target_board.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/peers/ask_transport.hpp>
 #include <pollenstream/peers/peer_message.hpp>
 #include <pollenstream/peers/peer_table.hpp>
@@ -56,7 +56,7 @@
                 std::vector<std::string> seed_ips,
                 ports::scheduler& scheduler,
                 datagram_sender& sender,
-                exchange::target_board& board,
+                exchange::load_table& loads,
                 exchange::crash_history& crashes,
                 exchange::event_log& log );
 
@@ -187,7 +187,7 @@
     std::vector<std::string> seed_ips_;
     ports::scheduler& scheduler_;
     datagram_sender& sender_;
-    exchange::target_board& board_;
+    exchange::load_table& load_table_;
     exchange::crash_history& crashes_;
     exchange::event_log& log_;
     ask_handler* handler_{ nullptr };
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -31,7 +31,7 @@
 {
     // This instance may place prompts too, and is told by nobody else.
     if ( how == exchange::target_failure::turned_away )
-        board_.note_failure( ref, scheduler_.now(), how );
+        load_table_.note_failure( ref, scheduler_.now(), how );
     pending_.failed.push_back( { ref, how } );
     arm_flush();
 }
@@ -70,7 +70,7 @@
 {
     auto const now = scheduler_.now();
     auto limit = told( ref );
-    for ( auto const at : board_.take_untold( ref, now ) )
+    for ( auto const at : load_table_.take_untold( ref, now ) )
         limit.sent_ages_ms.push_back( core::milliseconds_of( now - at ) );
     auto message = base_message();
     message.limits.push_back( std::move( limit ) );
@@ -80,14 +80,14 @@
 auto peer_group::told( exchange::target_ref const& ref ) const -> told_limit
 {
     auto const now = scheduler_.now();
-    auto const held = board_.find_lifetime( ref )->limit.held();
+    auto const held = load_table_.find_lifetime( ref )->limit.held();
     return { ref, held.per_second, core::milliseconds_of( now - held.sent_at ),
              core::milliseconds_of( now - held.heard_at ) };
 }
 
 auto peer_group::add_limits( peer_message& message ) -> void
 {
-    auto const limited = board_.limited();
+    auto const limited = load_table_.limited();
     auto const some = std::min( limited.size(), most_told_limits );
     for ( auto i = std::size_t{ 0 }; i < some; ++i )
         message.limits.push_back(
@@ -103,14 +103,14 @@
     };
     for ( auto const& l : message.limits )
     {
-        auto const change = board_.note_limit(
+        auto const change = load_table_.note_limit(
             l.target,
             { l.per_second, ago( l.sent_age_ms ), ago( l.heard_age_ms ) },
             now );
         auto times = std::vector<core::instant>{};
         for ( auto const age : l.sent_ages_ms )
             times.push_back( ago( age ) );
-        board_.note_sent( l.target, times );
+        load_table_.note_sent( l.target, times );
         if ( change == exchange::limit_change::none )
             continue;
         log_.record(
@@ -136,7 +136,7 @@
     auto const phase =
         static_cast<double>( core::stable_hash( self_.id.str() ) >> 11U ) /
         static_cast<double>( std::uint64_t{ 1 } << 53U );
-    board_.set_limit_shares(
+    load_table_.set_limit_shares(
         { hears_most ? 1.0 : living / known, unasked_part / known, phase } );
 }
 
@@ -197,7 +197,7 @@
 auto peer_group::take_leaving( peer_message const& message ) -> void
 {
     for ( auto const& ref : message.leaving_targets )
-        if ( board_.note_said_leaving( ref ) )
+        if ( load_table_.note_said_leaving( ref ) )
             log_.record( exchange::belief_changed{ "target",
                                                    ref.id.str(),
                                                    "leaving",
--- a/src/pollenstream/peers/peer_message.hpp
+++ b/src/pollenstream/peers/peer_message.hpp
@@ -3,9 +3,9 @@
 
 #include <pollenstream/core/error.hpp>
 #include <pollenstream/core/ids.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/placer.hpp>
 #include <pollenstream/exchange/request_content.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 #include <pollenstream/ports/record_store.hpp>
 
 #include <cstdint>
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -136,11 +136,11 @@
     ports::scheduler& scheduler,
     ask_transport& transport,
     exchange::placement_coordinator& coordinator,
-    exchange::target_board const& board,
+    exchange::load_table const& loads,
     std::function<std::uint64_t()> next_serial )
     : self_( std::move( self ) ), scheduler_( scheduler ),
-      transport_( transport ), coordinator_( coordinator ), board_( board ),
-      next_serial_( std::move( next_serial ) )
+      transport_( transport ), coordinator_( coordinator ),
+      load_table_( loads ), next_serial_( std::move( next_serial ) )
 {
 }
 
@@ -313,7 +313,7 @@
     choice.basis = answer.basis;
     for ( auto const& part : choice.parts )
         choice.targets.push_back(
-            board_.find_lifetime( { part.target, part.lifetime } ) );
+            load_table_.find_lifetime( { part.target, part.lifetime } ) );
     return choice;
 }
 
--- a/src/pollenstream/peers/placement_router.hpp
+++ b/src/pollenstream/peers/placement_router.hpp
@@ -39,7 +39,7 @@
                       ports::scheduler& scheduler,
                       ask_transport& transport,
                       exchange::placement_coordinator& coordinator,
-                      exchange::target_board const& board,
+                      exchange::load_table const& loads,
                       std::function<std::uint64_t()> next_serial );
     ~placement_router() override;
     placement_router( placement_router const& ) = delete;
@@ -100,7 +100,7 @@
     ports::scheduler& scheduler_;
     ask_transport& transport_;
     exchange::placement_coordinator& coordinator_;
-    exchange::target_board const& board_;
+    exchange::load_table const& load_table_;
     std::function<std::uint64_t()> next_serial_;
     std::map<std::uint64_t, pending_ptr> pending_;
     std::set<std::uint64_t> granted_; ///< whose work has not ended
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -49,7 +49,7 @@
 /// takes seconds. Where it cannot be told the breaks are believed.
 auto quarantine::look_at( exchange::crashed_run const& last ) -> void
 {
-    auto const at = context_.board.find_lifetime( last.target );
+    auto const at = context_.loads.find_lifetime( last.target );
     if ( !at || at->gone )
         return context_.crashes.prove( last.content );
     probe_.probe( at->facts.address,
@@ -116,7 +116,7 @@
     auto const is_listed =
         [this, is_current = is_current_()]( auto const& target )
     {
-        auto const at = context_.board.find_lifetime( target );
+        auto const at = context_.loads.find_lifetime( target );
         return is_current && at && !at->gone;
     };
     context_.crashes.review( context_.scheduler.now(), is_listed );
--- a/src/pollenstream/registry/registry_codec.hpp
+++ b/src/pollenstream/registry/registry_codec.hpp
@@ -3,8 +3,8 @@
 
 #include <pollenstream/core/error.hpp>
 #include <pollenstream/exchange/crash_history.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/routes.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 
 #include <string>
 #include <vector>
--- a/src/pollenstream/registry/registry_watch.cpp
+++ b/src/pollenstream/registry/registry_watch.cpp
@@ -36,17 +36,17 @@
 }
 
 /// The change's name in logs.
-auto name_of( exchange::board_change change ) -> char const*
+auto name_of( exchange::target_change change ) -> char const*
 {
     switch ( change )
     {
-    case exchange::board_change::none:
+    case exchange::target_change::none:
         return "unchanged";
-    case exchange::board_change::added:
+    case exchange::target_change::added:
         return "ready";
-    case exchange::board_change::restarted:
+    case exchange::target_change::restarted:
         return "restarted";
-    case exchange::board_change::starts_to_leave:
+    case exchange::target_change::starts_to_leave:
         return "leaving";
     }
     return "unknown";
@@ -57,11 +57,11 @@
 registry_watch::registry_watch( ports::record_store& store,
                                 ports::scheduler& scheduler,
                                 registry_codec const& codec,
-                                exchange::target_board& board,
+                                exchange::load_table& loads,
                                 exchange::event_log& log,
                                 registry_events events )
     : store_( store ), scheduler_( scheduler ), codec_( codec ),
-      board_( board ), log_( log ), events_( std::move( events ) )
+      load_table_( loads ), log_( log ), events_( std::move( events ) )
 {
 }
 
@@ -337,14 +337,14 @@
     auto const id = read.value().id;
     auto const lifetime = read.value().lifetime;
     missing_.erase( id );
-    auto const change = board_.put( std::move( read.value() ) );
-    if ( change != exchange::board_change::none )
+    auto const change = load_table_.put( std::move( read.value() ) );
+    if ( change != exchange::target_change::none )
         log_.record( exchange::belief_changed{ "target",
                                                id.str(),
                                                name_of( change ),
                                                source_of( from, lifetime ),
                                                {} } );
-    if ( change == exchange::board_change::starts_to_leave )
+    if ( change == exchange::target_change::starts_to_leave )
         events_.on_target_left( id );
     events_.on_targets_changed();
 }
@@ -358,7 +358,7 @@
         "target", key, "unreadable", why.detail, {} } );
     auto const id = codec_.target_of( key );
     missing_.erase( id );
-    auto const at = board_.find( id );
+    auto const at = load_table_.find( id );
     if ( at && !at->gone )
         target_gone( id, "its entry cannot be read" );
 }
@@ -408,7 +408,7 @@
 auto registry_watch::target_gone( core::target_id const& id,
                                   std::string const& why ) -> void
 {
-    board_.mark_gone( id );
+    load_table_.mark_gone( id );
     log_.record(
         exchange::belief_changed{ "target", id.str(), "gone", why, {} } );
     events_.on_target_left( id );
--- a/src/pollenstream/registry/registry_watch.hpp
+++ b/src/pollenstream/registry/registry_watch.hpp
@@ -2,8 +2,8 @@
 #define POLLENSTREAM_REGISTRY_REGISTRY_WATCH_HPP
 
 #include <pollenstream/exchange/event_log.hpp>
+#include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/routes.hpp>
-#include <pollenstream/exchange/target_board.hpp>
 #include <pollenstream/ports/record_store.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 #include <pollenstream/registry/registry_codec.hpp>
@@ -56,7 +56,7 @@
     registry_watch( ports::record_store& store,
                     ports::scheduler& scheduler,
                     registry_codec const& codec,
-                    exchange::target_board& board,
+                    exchange::load_table& loads,
                     exchange::event_log& log,
                     registry_events events );
 
@@ -137,7 +137,7 @@
     ports::record_store& store_;
     ports::scheduler& scheduler_;
     registry_codec const& codec_;
-    exchange::target_board& board_;
+    exchange::load_table& load_table_;
     exchange::event_log& log_;
     registry_events events_;
 
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -355,7 +355,7 @@
     auto f = exchange_fixture{};
     auto gone = make_target( "p1", "plain" );
     gone.leaving = true;
-    f.board.put( gone );
+    f.loads.put( gone );
     for ( auto i = 0; i < 20; ++i )
     {
         f.start( f.request( "/safe/x" ) );
@@ -387,7 +387,7 @@
     auto const helper =
         core::target_id( first == core::target_id( "m1" ) ? "m2" : "m1" );
     auto const address =
-        core::to_string( f.board.find( helper )->facts.address );
+        core::to_string( f.loads.find( helper )->facts.address );
     SECTION( "named by its address" )
     {
         f.targets.all[0]->turn_away( 503, address );
@@ -396,8 +396,8 @@
     {
         f.targets.all[0]->turn_away( 503, helper.str() );
     }
-    CHECK_FALSE( f.board.find( helper )->may_get_work( f.scheduler.now() ) );
-    CHECK( f.board.find( first )->may_get_work( f.scheduler.now() ) );
+    CHECK_FALSE( f.loads.find( helper )->may_get_work( f.scheduler.now() ) );
+    CHECK( f.loads.find( first )->may_get_work( f.scheduler.now() ) );
     REQUIRE( f.announcer.shunned.size() == 1 );
     CHECK( f.announcer.shunned[0] == helper );
     REQUIRE( f.targets.all.size() == 2 );
@@ -418,7 +418,7 @@
     auto work = exchange::open_work{};
     work.serial = 1;
     work.parts = { { sent->request.target, 3'000, 0 } };
-    f.board.add_work( core::instance_id( "other" ), work, f.scheduler.now() );
+    f.loads.add_work( core::instance_id( "other" ), work, f.scheduler.now() );
     f.scheduler.run( 2'500ms );
     CHECK( f.targets.all.size() == 1 );
     SECTION( "but for longer than that it is" )
@@ -440,7 +440,7 @@
     {
         auto granted = exchange::placement_grant{};
         granted.serial = serial;
-        granted.choice.targets = { f.board.find( core::target_id( target ) ) };
+        granted.choice.targets = { f.loads.find( core::target_id( target ) ) };
         granted.choice.parts = { { core::target_id( target ), 20, 6'000 } };
         return granted;
     };
@@ -475,7 +475,7 @@
     open->on_caller_gone();
     auto late = exchange::placement_grant{};
     late.serial = asks.all[0].ask.serial;
-    late.choice.targets = { f.board.find( core::target_id( "m1" ) ) };
+    late.choice.targets = { f.loads.find( core::target_id( "m1" ) ) };
     late.choice.parts = { { core::target_id( "m1" ), 20, 6'000 } };
     asks.all[0].listener->on_granted( late );
     CHECK( f.targets.all.empty() );
@@ -490,10 +490,10 @@
     auto const open = f.start( f.request( "/chat/" ) );
     auto leaving = make_target( "m1", "model" );
     leaving.leaving = true;
-    f.board.put( leaving );
+    f.loads.put( leaving );
     auto granted = exchange::placement_grant{};
     granted.serial = asks.all[0].ask.serial;
-    granted.choice.targets = { f.board.find( core::target_id( "m1" ) ) };
+    granted.choice.targets = { f.loads.find( core::target_id( "m1" ) ) };
     granted.choice.parts = { { core::target_id( "m1" ), 20, 6'000 } };
     asks.all[0].listener->on_granted( granted );
     CHECK( f.targets.all.empty() );
@@ -544,7 +544,7 @@
            "[exchange][refusal]" )
 {
     auto f = exchange_fixture{};
-    f.board.mark_gone( core::target_id( "p2" ) );
+    f.loads.mark_gone( core::target_id( "p2" ) );
     f.start( f.request( "/safe/x" ) );
     REQUIRE( f.targets.all.size() == 1 );
     f.targets.all[0]->lose();
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -152,41 +152,41 @@
 TEST_CASE( "work counts on the board until it ends, whatever comes late",
            "[board]" )
 {
-    auto board = exchange::target_board{};
+    auto loads = exchange::load_table{};
     auto const now = core::instant( 100s );
     auto const peer = core::instance_id( "peer" );
-    board.put( make_target( "m1", "model" ) );
+    loads.put( make_target( "m1", "model" ) );
     auto work = exchange::open_work{};
     work.serial = 1;
     work.parts = { { core::target_id( "m1" ), 100, 5'000 },
                    { core::target_id( "m2" ), 100, 0 } };
     work.context_tokens = 5'000;
     work.tolerated_gap_ms = 200;
-    board.add_work( peer, work, now );
-    board.add_work( peer, work, now );
-    auto const m1 = board.find( core::target_id( "m1" ) );
+    loads.add_work( peer, work, now );
+    loads.add_work( peer, work, now );
+    auto const m1 = loads.find( core::target_id( "m1" ) );
     CHECK( m1->load.requests == 1 );
     CHECK( m1->load.memory_tokens == 5'000 );
     CHECK( m1->backlog_ms( now ) == Approx( 100 ) );
     // A target that is told of later than its work is not charged for it.
-    board.put( make_target( "m2", "model" ) );
-    board.end_reading( peer, 1, now );
+    loads.put( make_target( "m2", "model" ) );
+    loads.end_reading( peer, 1, now );
     CHECK( m1->load.writers == 1 );
     CHECK( m1->backlog_ms( now ) == 0 );
     SECTION( "it ends" )
     {
-        board.end_work( peer, 1, now );
-        board.end_work( peer, 1, now );
+        loads.end_work( peer, 1, now );
+        loads.end_work( peer, 1, now );
     }
     SECTION( "its instance ends" )
     {
-        board.end_all_work( peer, now );
+        loads.end_all_work( peer, now );
     }
     CHECK( m1->load.requests == 0 );
     CHECK( m1->load.writers == 0 );
     CHECK( m1->load.memory_tokens == 0 );
     CHECK( m1->load.by_gap.empty() );
-    auto const m2 = board.find( core::target_id( "m2" ) );
+    auto const m2 = loads.find( core::target_id( "m2" ) );
     CHECK( m2->load.parts_reading == 0 );
     CHECK( m2->load.memory_tokens == 0 );
 }
@@ -194,40 +194,40 @@
 TEST_CASE( "a target that fails again and again is left for longer and longer",
            "[board][health]" )
 {
-    auto board = exchange::target_board{};
+    auto loads = exchange::load_table{};
     auto now = core::instant( 100s );
     auto const id = core::target_id( "m1" );
-    board.put( make_target( "m1", "model" ) );
-    auto const m1 = board.find( id );
-    CHECK_FALSE( board.note_failure( id, now ) );
+    loads.put( make_target( "m1", "model" ) );
+    auto const m1 = loads.find( id );
+    CHECK_FALSE( loads.note_failure( id, now ) );
     CHECK( m1->may_get_work( now ) );
-    CHECK( board.note_failure( id, now ) );
+    CHECK( loads.note_failure( id, now ) );
     auto const first = m1->health.shunned_until - now;
     CHECK( first > core::duration( 0 ) );
     now = m1->health.shunned_until;
     CHECK( m1->may_get_work( now ) );
-    board.note_failure( id, now );
+    loads.note_failure( id, now );
     CHECK( m1->health.shunned_until - now > first );
-    board.note_success( id );
+    loads.note_success( id );
     CHECK( m1->health.failures_in_a_row == 0 );
 }
 
 TEST_CASE( "an entry that comes back is used again, one that leaves is not",
            "[board]" )
 {
-    auto board = exchange::target_board{};
+    auto loads = exchange::load_table{};
     auto const id = core::target_id( "m1" );
     auto facts = make_target( "m1", "model" );
-    board.put( facts );
-    board.mark_gone( id );
-    CHECK_FALSE( board.find( id )->takes_work() );
-    board.put( facts );
-    CHECK( board.find( id )->takes_work() );
+    loads.put( facts );
+    loads.mark_gone( id );
+    CHECK_FALSE( loads.find( id )->takes_work() );
+    loads.put( facts );
+    CHECK( loads.find( id )->takes_work() );
     facts.leaving = true;
-    CHECK( board.put( facts ) == exchange::board_change::starts_to_leave );
+    CHECK( loads.put( facts ) == exchange::target_change::starts_to_leave );
     facts.leaving = false;
-    CHECK( board.put( facts ) == exchange::board_change::none );
-    CHECK_FALSE( board.find( id )->takes_work() );
+    CHECK( loads.put( facts ) == exchange::target_change::none );
+    CHECK_FALSE( loads.find( id )->takes_work() );
 }
 
 TEST_CASE( "one that is always tried is asked though others found no room",
@@ -252,15 +252,15 @@
 TEST_CASE( "targets of a service stand in one order however they come and go",
            "[board]" )
 {
-    auto const names = []( exchange::target_board const& board )
+    auto const names = []( exchange::load_table const& loads )
     {
         auto all = std::vector<std::string>{};
-        for ( auto const& t : board.of_service( core::service_id( "model" ) ) )
+        for ( auto const& t : loads.of_service( core::service_id( "model" ) ) )
             all.push_back( t->facts.id.str() );
         return all;
     };
-    auto up = exchange::target_board{};
-    auto down = exchange::target_board{};
+    auto up = exchange::load_table{};
+    auto down = exchange::load_table{};
     for ( auto i = 0; i < 50; ++i )
     {
         up.put( make_target( "m" + std::to_string( i ), "model" ) );
@@ -270,7 +270,7 @@
     // One that starts again keeps its place, one that moves leaves its order.
     auto again = make_target( "m7", "model" );
     again.lifetime = core::target_lifetime( 5 );
-    CHECK( up.put( again ) == exchange::board_change::restarted );
+    CHECK( up.put( again ) == exchange::target_change::restarted );
     CHECK( names( up ) == names( down ) );
     up.put( make_target( "m8", "plain" ) );
     down.remove( core::target_id( "m8" ) );
@@ -282,26 +282,26 @@
 TEST_CASE( "work that was told before its targets were known is counted later",
            "[board][coordinator]" )
 {
-    auto board = exchange::target_board{};
+    auto loads = exchange::load_table{};
     auto const other = core::instance_id( "other" );
     auto const now = core::instant( 100s );
     auto work = exchange::open_work{};
     work.serial = 1;
     work.parts = { { core::target_id( "m1" ), 20, 6'000 },
                    { core::target_id( "m2" ), 7'000, 0 } };
-    board.add_work( other, work, now );
-    board.put( make_target( "m1", "model" ) );
-    board.put( make_target( "m2", "model" ) );
+    loads.add_work( other, work, now );
+    loads.put( make_target( "m1", "model" ) );
+    loads.put( make_target( "m2", "model" ) );
     // The next regular message tells of it again.
-    board.add_work( other, work, now + 200ms );
-    auto const m1 = board.find( core::target_id( "m1" ) );
-    auto const m2 = board.find( core::target_id( "m2" ) );
+    loads.add_work( other, work, now + 200ms );
+    auto const m1 = loads.find( core::target_id( "m1" ) );
+    auto const m2 = loads.find( core::target_id( "m2" ) );
     CHECK( m1->load.requests == 1 );
     CHECK( m1->load.memory_tokens == 6'000 );
     CHECK( m2->backlog_ms( now + 200ms ) == Approx( 7'000 ) );
-    board.add_work( other, work, now + 400ms );
+    loads.add_work( other, work, now + 400ms );
     CHECK( m1->load.requests == 1 );
-    board.end_work( other, 1, now + 500ms );
+    loads.end_work( other, 1, now + 500ms );
     CHECK( m1->load.requests == 0 );
     CHECK( m1->load.memory_tokens == 0 );
     CHECK( m2->load.parts_reading == 0 );
--- a/tests/exchange/pause_test.cpp
+++ b/tests/exchange/pause_test.cpp
@@ -58,7 +58,7 @@
     f.scheduler.run( 200ms );
     for ( auto const* id : { "m1", "m2", "m3", "p1", "p2" } )
         if ( core::target_id( id ) != paused )
-            f.board.mark_gone( core::target_id( id ) );
+            f.loads.mark_gone( core::target_id( id ) );
     f.start( f.request( path ) );
     f.scheduler.run( 100ms );
     CHECK( count_of( f.targets, paused ) == 2 );
@@ -106,7 +106,7 @@
 {
     auto f = exchange_fixture{};
     for ( auto const* id : { "m2", "m3" } )
-        f.board.mark_gone( core::target_id( id ) );
+        f.loads.mark_gone( core::target_id( id ) );
     f.start( f.request( "/chat/x" ) );
     REQUIRE( f.targets.all.size() == 1 );
     turn_away_for( *f.targets.all[0], 400ms );
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -17,9 +17,9 @@
     explicit coordinator_fixture( int engines )
     {
         for ( auto const* id : { "m1", "m2", "m3" } )
-            board.remove( core::target_id( id ) );
+            loads.remove( core::target_id( id ) );
         for ( auto i = 0; i < engines; ++i )
-            board.put( make_target( "e" + std::to_string( i ), "model" ) );
+            loads.put( make_target( "e" + std::to_string( i ), "model" ) );
     }
 
     auto ask( std::string const& asker,
@@ -54,14 +54,14 @@
     auto total_memory() const -> std::int64_t
     {
         auto sum = std::int64_t{ 0 };
-        for ( auto const& [id, t] : board.all() )
+        for ( auto const& [id, t] : loads.all() )
             sum += t->load.memory_tokens;
         return sum;
     }
     auto total_reading() const -> std::int64_t
     {
         auto sum = std::int64_t{ 0 };
-        for ( auto const& [id, t] : board.all() )
+        for ( auto const& [id, t] : loads.all() )
             sum += t->load.parts_reading;
         return sum;
     }
@@ -167,7 +167,7 @@
     f.scheduler.run( 2s );
     CHECK( waits->grants.empty() );
     CHECK( f.total_reading() == 0 );
-    CHECK( f.board.wide().size() == 0 );
+    CHECK( f.loads.wide().size() == 0 );
 }
 
 TEST_CASE( "an ask whose caller has left is dropped without a word",
@@ -175,7 +175,7 @@
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
-    f.board.find( core::target_id( "e0" ) )->facts.leaving = true;
+    f.loads.find( core::target_id( "e0" ) )->facts.leaving = true;
     auto const waits = f.ask( "b", 1, 60'000 );
     f.scheduler.run( 13s );
     CHECK( f.coordinator.waiting() == 0 );
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -19,7 +19,7 @@
     engine_floor()
     {
         for ( auto i = 0; i < 18; ++i )
-            board.put( make_target( "m" + std::to_string( i ), "model" ) );
+            loads.put( make_target( "m" + std::to_string( i ), "model" ) );
         service.id = core::service_id( "model" );
         service.engine = engine_speed_of_users();
     }
@@ -56,7 +56,7 @@
         work.context_tokens = tokens;
         work.tolerated_gap_ms = core::milliseconds_of( gap );
         work.is_suspect = crashes > 0;
-        board.add_work( self, work, now );
+        loads.add_work( self, work, now );
         return true;
     }
 
@@ -79,11 +79,11 @@
 
     auto end_reading( std::uint64_t which ) -> void
     {
-        board.end_reading( self, which, now );
+        loads.end_reading( self, which, now );
     }
 
-    exchange::target_board board;
-    exchange::placement chooser{ board, core::data_centre_id( "a" ) };
+    exchange::load_table loads;
+    exchange::placement chooser{ loads, core::data_centre_id( "a" ) };
     exchange::service_settings service;
     core::instance_id self{ "self" };
     core::instant now{ 100s };
@@ -172,7 +172,7 @@
         work.context_tokens = 5'000;
         work.tolerated_gap_ms = 200;
         work.reading = false;
-        floor.board.add_work( floor.self, work, floor.now );
+        floor.loads.add_work( floor.self, work, floor.now );
     }
     floor.waited = 9s;
     CHECK_FALSE( floor.place( 210'000, 800ms ) );
@@ -211,14 +211,14 @@
 {
     auto floor = engine_floor{};
     // Every engine has less than 200,000 tokens free.
-    for ( auto const& [id, target] : floor.board.all() )
+    for ( auto const& [id, target] : floor.loads.all() )
     {
         auto work = exchange::open_work{};
         work.serial = ++floor.serial;
         work.parts = { { id, 0, 260'000 } };
         work.tolerated_gap_ms = 800;
         work.reading = false;
-        floor.board.add_work( floor.self, work, floor.now );
+        floor.loads.add_work( floor.self, work, floor.now );
     }
     REQUIRE( floor.place( 210'000, 800ms ) );
     CHECK( floor.last.choice->needs_reservation );
@@ -240,19 +240,19 @@
 TEST_CASE( "leaving and shunned targets are passed over", "[placement]" )
 {
     auto f = exchange_fixture{};
-    f.board.shun( core::target_id( "p1" ), f.scheduler.now() + 1s );
+    f.loads.shun( core::target_id( "p1" ), f.scheduler.now() + 1s );
     auto demand = exchange::placement_demand{};
     demand.service = core::service_id( "plain" );
     auto const settings = exchange::service_settings{};
     auto result = f.chooser.choose( demand, settings, f.scheduler.now() );
     REQUIRE( result.choice );
     CHECK( result.choice->targets[0]->facts.id == core::target_id( "p2" ) );
-    f.board.mark_gone( core::target_id( "p2" ) );
+    f.loads.mark_gone( core::target_id( "p2" ) );
     // Better a target that failed than none.
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     REQUIRE( result.choice );
     CHECK( result.choice->targets[0]->facts.id == core::target_id( "p1" ) );
-    f.board.mark_gone( core::target_id( "p1" ) );
+    f.loads.mark_gone( core::target_id( "p1" ) );
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     CHECK_FALSE( result.choice );
     CHECK( result.reason == exchange::no_choice::no_targets );
@@ -285,7 +285,7 @@
                        {
                            if ( r.until > floor.now )
                                return false;
-                           floor.board.end_work( floor.self, r.serial,
+                           floor.loads.end_work( floor.self, r.serial,
                                                  floor.now );
                            return true;
                        } );
@@ -344,8 +344,8 @@
         auto work = exchange::open_work{};
         work.serial = ++floor.serial;
         work.parts = { { core::target_id( "m0" ), 0, 0 } };
-        floor.board.add_work( floor.self, work, floor.now );
-        floor.board.end_work( floor.self, work.serial, floor.now );
+        floor.loads.add_work( floor.self, work, floor.now );
+        floor.loads.end_work( floor.self, work.serial, floor.now );
     }
     auto at_engine = std::map<std::string, int>{};
     for ( auto i = 0; i < 9; ++i )
@@ -485,8 +485,8 @@
     SECTION( "and what ends no longer counts" )
     {
         for ( auto serial = std::uint64_t{ 1 }; serial <= f.serial; ++serial )
-            f.board.end_work( f.self, serial, f.now );
-        for ( auto const& [id, t] : f.board.all() )
+            f.loads.end_work( f.self, serial, f.now );
+        for ( auto const& [id, t] : f.loads.all() )
             CHECK( t->load.suspects == 0 );
     }
 }
@@ -500,6 +500,6 @@
     f.crashes = 2;
     REQUIRE( f.place( 5'000, 200ms ) );
     auto const beside = f.last.choice->basis.requests;
-    for ( auto const& [id, t] : f.board.all() )
+    for ( auto const& [id, t] : f.loads.all() )
         CHECK( beside <= t->load.requests );
 }
--- a/tests/exchange/reservation_test.cpp
+++ b/tests/exchange/reservation_test.cpp
@@ -35,7 +35,7 @@
 {
     auto f = exchange_fixture{};
     for ( auto i = 4; i < 10; ++i )
-        f.board.put( make_target( "m" + std::to_string( i ), "model" ) );
+        f.loads.put( make_target( "m" + std::to_string( i ), "model" ) );
     auto const large = start_large( f );
     REQUIRE( f.reservations.reserved.size() >= 2 );
     CHECK( f.targets.all.empty() );
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -65,7 +65,7 @@
     auto f = exchange_fixture{};
     SECTION( "no other target" )
     {
-        f.board.mark_gone( core::target_id( "p2" ) );
+        f.loads.mark_gone( core::target_id( "p2" ) );
     }
     SECTION( "no repeat left in the budget" )
     {
@@ -238,7 +238,7 @@
     REQUIRE( s.asks.all.size() == 2 );
     auto granted = exchange::placement_grant{};
     granted.serial = s.asks.all[1].ask.serial;
-    granted.choice.targets = { s.f.board.find( core::target_id( "m2" ) ) };
+    granted.choice.targets = { s.f.loads.find( core::target_id( "m2" ) ) };
     granted.choice.parts = { { core::target_id( "m2" ), 20, 6'000 } };
     granted.choice.needs_reservation = true;
     s.asks.all[1].listener->on_granted( granted );
@@ -471,7 +471,7 @@
     CHECK( s.f.answer->ended );
     CHECK( s.f.announcer.open == 0 );
     for ( auto const* id : { "m1", "m2", "m3" } )
-        CHECK( s.f.board.find( core::target_id( id ) )->load.requests == 0 );
+        CHECK( s.f.loads.find( core::target_id( id ) )->load.requests == 0 );
 }
 
 TEST_CASE( "the end of a request ends its silent target's work too",
--- a/tests/exchange/told_limit_trouble_test.cpp
+++ b/tests/exchange/told_limit_trouble_test.cpp
@@ -163,26 +163,26 @@
     CHECK( count_between( calls.service().runs, limited, later,
                           fleet.scheduler.now() ) > 10 );
     for ( auto i = 0; i < fleet.size(); ++i )
-        CHECK_FALSE( fleet.at( i ).board.find( limited )->limit.per_second() );
+        CHECK_FALSE( fleet.at( i ).loads.find( limited )->limit.per_second() );
 }
 
 TEST_CASE( "a target that starts anew has no limit of before",
            "[exchange][limit]" )
 {
-    auto board = exchange::target_board{};
+    auto loads = exchange::load_table{};
     auto facts = make_target( "m1", "model" );
-    board.put( facts );
+    loads.put( facts );
     auto const former = exchange::target_ref( facts.id, facts.lifetime );
     auto const now = core::instant( 100s );
-    board.note_limit( former, { 1.3, now, now }, now );
-    REQUIRE( board.find( facts.id )->limit.per_second() );
+    loads.note_limit( former, { 1.3, now, now }, now );
+    REQUIRE( loads.find( facts.id )->limit.per_second() );
     facts.lifetime = core::target_lifetime( facts.lifetime.count() + 1 );
-    board.put( facts );
-    CHECK_FALSE( board.find( facts.id )->limit.per_second() );
+    loads.put( facts );
+    CHECK_FALSE( loads.find( facts.id )->limit.per_second() );
     // News of the former one come late.
-    CHECK( board.note_limit( former, { 1.3, now, now }, now ) ==
+    CHECK( loads.note_limit( former, { 1.3, now, now }, now ) ==
            exchange::limit_change::none );
-    CHECK( board.limited().empty() );
+    CHECK( loads.limited().empty() );
 }
 
 TEST_CASE( "a higher limit releases nothing that was saved up, a lower one "
@@ -217,7 +217,7 @@
     auto const path = GENERATE( as<std::string>{}, "/safe/x", "/chat/x" );
     auto const now = f.scheduler.now();
     for ( auto const* id : { "m1", "m2", "m3", "p1", "p2" } )
-        f.board.note_limit( core::target_id( id ), { 0.2, now, now }, now );
+        f.loads.note_limit( core::target_id( id ), { 0.2, now, now }, now );
     f.start( f.request( path ) );
     CHECK( f.targets.all.empty() );
     CHECK( f.answer->whole.status == 503 );
@@ -239,7 +239,7 @@
         auto f = exchange_fixture{};
         auto const now = f.scheduler.now();
         for ( auto const* id : { "m2", "m3" } )
-            f.board.note_limit( core::target_id( id ), { limit, now, now },
+            f.loads.note_limit( core::target_id( id ), { limit, now, now },
                                 now );
         f.scheduler.run( 1s );
         auto chosen = std::vector<core::target_id>{};
--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/told_state_test.cpp
@@ -72,7 +72,7 @@
         f.targets.all.at( 1 )->answer( 200, "body" );
     // The registry's news may be older than the answer.
     auto facts = make_target( leaves.str(), "plain" );
-    f.board.put( facts );
+    f.loads.put( facts );
     for ( auto i = 0; i < 8; ++i )
     {
         auto const before = f.targets.all.size();
@@ -85,7 +85,7 @@
     {
         for ( auto const* id : { "p1", "p2" } )
             if ( core::target_id( id ) != leaves )
-                f.board.mark_gone( core::target_id( id ) );
+                f.loads.mark_gone( core::target_id( id ) );
         auto const before = f.targets.all.size();
         f.start( f.request( "/safe/x" ) );
         CHECK( f.answer->whole.status == 503 );
--- a/tests/exchange/wide_load_test.cpp
+++ b/tests/exchange/wide_load_test.cpp
@@ -102,7 +102,7 @@
     load.play( 500ms );
     REQUIRE_FALSE( wide->first );
     for ( auto i = 0; i < 3; ++i )
-        load.fixture.board.mark_gone(
+        load.fixture.loads.mark_gone(
             core::target_id( "e" + std::to_string( i ) ) );
     load.play( 20s );
     CHECK( wide->complete );
--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -69,12 +69,12 @@
                  std::move( seeds ),
                  scheduler,
                  sender,
-                 board,
+                 loads,
                  crashes,
                  log )
     {
         network.by_ip[ip] = this;
-        board.put( make_target( "m1", "model" ) );
+        loads.put( make_target( "m1", "model" ) );
     }
     auto places_prompts() const -> bool
     {
@@ -84,13 +84,13 @@
     }
     auto load() const -> std::int64_t
     {
-        return board.find( core::target_id( "m1" ) )->load.requests;
+        return loads.find( core::target_id( "m1" ) )->load.requests;
     }
 
     std::string ip;
     std::string name;
     network_sender sender;
-    exchange::target_board board;
+    exchange::load_table loads;
     exchange::crash_history crashes{ 6s };
     recorded_events log;
     peers::peer_group group;
@@ -217,14 +217,14 @@
     };
     auto const work = some_work( 1 );
     auto& first = fleet.other_than_coordinators();
-    first.board.add_work( core::instance_id( first.name ), work,
+    first.loads.add_work( core::instance_id( first.name ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
     // Nobody else has to know of it.
     CHECK( others_with_work( first.name ) ==
            std::map<bool, int>{ { true, 3 }, { false, 0 } } );
-    first.board.end_work( core::instance_id( first.name ), 1,
+    first.loads.end_work( core::instance_id( first.name ), 1,
                           fleet.scheduler.now() );
     first.group.work_ended( 1, exchange::work_outcome::served );
     fleet.scheduler.run( 10ms );
@@ -238,12 +238,12 @@
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
     auto const work = some_work( 1 );
-    first.board.add_work( core::instance_id( "n1" ), work,
+    first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
     fleet.network.silent.insert( first.ip );
-    first.board.end_work( core::instance_id( "n1" ), 1, fleet.scheduler.now() );
+    first.loads.end_work( core::instance_id( "n1" ), 1, fleet.scheduler.now() );
     first.group.work_ended( 1, exchange::work_outcome::served );
     fleet.scheduler.run( 10ms );
     CHECK( fleet.all[1]->load() == 1 );
@@ -257,7 +257,7 @@
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
     auto const work = some_work( 1 );
-    first.board.add_work( core::instance_id( "n1" ), work,
+    first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
@@ -286,7 +286,7 @@
     auto fleet = small_fleet( 2 );
     auto& old = *fleet.all[0];
     auto const work = some_work( 1 );
-    old.board.add_work( core::instance_id( "n1" ), work,
+    old.loads.add_work( core::instance_id( "n1" ), work,
                         fleet.scheduler.now() );
     old.group.work_began( work );
     fleet.scheduler.run( 10ms );
@@ -424,7 +424,7 @@
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
     auto const work = some_work( 1 );
-    first.board.add_work( core::instance_id( "n1" ), work,
+    first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 20ms );
@@ -484,7 +484,7 @@
     auto const before = fleet.all[0]->group.coordinators();
     auto& owner = fleet.other_than_coordinators();
     auto const work = some_work( 1 );
-    owner.board.add_work( core::instance_id( owner.name ), work,
+    owner.loads.add_work( core::instance_id( owner.name ), work,
                           fleet.scheduler.now() );
     owner.group.work_began( work );
     fleet.scheduler.run( 20ms );
--- a/tests/peers/placement_router_test.cpp
+++ b/tests/peers/placement_router_test.cpp
@@ -99,7 +99,7 @@
                                    scheduler,
                                    transport,
                                    coordinator,
-                                   board,
+                                   loads,
                                    [this]
                                    {
                                        return ++last_serial;
@@ -259,10 +259,10 @@
     f.asker.on_ask( ask );
     REQUIRE( f.transport.answers.size() == 1 );
     CHECK( f.transport.answers[0].decision == peers::ask_decision::granted );
-    CHECK( f.board.works_of( core::instance_id( "other" ), f.scheduler.now() )
+    CHECK( f.loads.works_of( core::instance_id( "other" ), f.scheduler.now() )
                .size() == 1 );
     f.asker.on_released( core::instance_id( "other" ), 1 );
-    CHECK( f.board.works_of( core::instance_id( "other" ), f.scheduler.now() )
+    CHECK( f.loads.works_of( core::instance_id( "other" ), f.scheduler.now() )
                .empty() );
 }
 
--- a/tests/registry/registry_watch_test.cpp
+++ b/tests/registry/registry_watch_test.cpp
@@ -113,19 +113,19 @@
             updates.push_back( u );
         };
         watch = std::make_unique<registry::registry_watch>(
-            store, scheduler, codec, board, log, std::move( events ) );
+            store, scheduler, codec, loads, log, std::move( events ) );
         watch->start();
     }
     auto takes_work( std::string const& id ) const -> bool
     {
-        auto const t = board.find( core::target_id( id ) );
+        auto const t = loads.find( core::target_id( id ) );
         return t && t->takes_work();
     }
 
     held_scheduler scheduler;
     answered_store store;
     plain_codec codec;
-    exchange::target_board board;
+    exchange::load_table loads;
     recorded_events log;
     std::vector<std::int64_t> versions;
     std::vector<std::string> left;
@@ -177,7 +177,7 @@
                              rec( "t/c", "bad", 3 ) },
                            3 ) );
     CHECK( f.takes_work( "a" ) );
-    CHECK( f.board.find( core::target_id( "c" ) ) == nullptr );
+    CHECK( f.loads.find( core::target_id( "c" ) ) == nullptr );
     f.store.answer(
         batch( { rec( "t/a", "leaving", 4 ), gone( "t/b", 5 ) }, 5 ) );
     CHECK_FALSE( f.takes_work( "a" ) );
@@ -385,7 +385,7 @@
     events.on_configuration = []( auto const& ) {};
     events.on_targets_changed = [] {};
     auto follower = registry::registry_watch(
-        f.store, f.scheduler, f.codec, f.board, f.log, std::move( events ) );
+        f.store, f.scheduler, f.codec, f.loads, f.log, std::move( events ) );
     follower.start_following();
     f.scheduler.run( 2s );
     CHECK( f.store.lists == lists );
--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -53,7 +53,7 @@
         events.on_targets_changed = [] {};
         events.on_instance = []( auto const&, auto const& ) {};
         watch = std::make_unique<registry::registry_watch>(
-            store, scheduler, records, board, log, std::move( events ) );
+            store, scheduler, records, loads, log, std::move( events ) );
         watch->start();
         store.answer( { {}, ports::store_revision( 1 ) } );
     }
@@ -65,7 +65,7 @@
     }
     auto takes_work( std::string const& id ) const -> bool
     {
-        auto const t = board.find( core::target_id( id ) );
+        auto const t = loads.find( core::target_id( id ) );
         return t && t->takes_work();
     }
     auto unreadable_lines() const -> std::int64_t
@@ -82,7 +82,7 @@
     held_scheduler scheduler;
     answered_store store;
     platform::registry_records records;
-    exchange::target_board board;
+    exchange::load_table loads;
     recorded_events log;
     std::unique_ptr<registry::registry_watch> watch;
     int revision{ 1 };
@@ -134,18 +134,18 @@
     auto const now = f.scheduler.now();
     auto work = work_at( "i-1", 1 );
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
-    f.board.add_work( self, work, now );
-    f.board.shun( f.board.find( id )->ref(), now + 5s );
-    REQUIRE( f.board.find( id )->load.requests == 1 );
+    f.loads.add_work( self, work, now );
+    f.loads.shun( f.loads.find( id )->ref(), now + 5s );
+    REQUIRE( f.loads.find( id )->load.requests == 1 );
 
     f.write( "i-1", entry_born( 2'000 ) );
-    auto const fresh = f.board.find( id );
+    auto const fresh = f.loads.find( id );
     CHECK( fresh->load.requests == 0 );
     CHECK( fresh->load.memory_tokens == 0 );
     CHECK( fresh->backlog_ms( now ) == 0 );
     CHECK( fresh->may_get_work( now ) );
     // What ends later is not taken off the new lifetime.
-    f.board.end_work( self, 1, now );
+    f.loads.end_work( self, 1, now );
     CHECK( fresh->load.requests == 0 );
     CHECK( fresh->load.memory_tokens == 0 );
 }
@@ -159,18 +159,18 @@
     auto const former =
         exchange::target_ref{ id, core::target_lifetime( 1'000 ) };
     auto const now = f.scheduler.now();
-    auto const fresh = f.board.find( id );
+    auto const fresh = f.loads.find( id );
     // A write of the former process that the store carries out late.
     f.write( "i-1", entry_born( 1'000, "draining" ) );
     CHECK( f.takes_work( "i-1" ) );
     // Late answers, and what other instances tell.
-    f.board.note_failure( former, now );
-    f.board.note_failure( former, now );
-    f.board.shun( former, now + 5s );
-    f.board.note_told( former, { 9, 9, 16 }, now );
+    f.loads.note_failure( former, now );
+    f.loads.note_failure( former, now );
+    f.loads.shun( former, now + 5s );
+    f.loads.note_told( former, { 9, 9, 16 }, now );
     auto work = work_at( "i-1", 7 );
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
-    f.board.add_work( core::instance_id( "other" ), work, now );
+    f.loads.add_work( core::instance_id( "other" ), work, now );
     CHECK( fresh->may_get_work( now ) );
     CHECK_FALSE( fresh->told );
     CHECK( fresh->load.requests == 0 );
@@ -214,7 +214,7 @@
         auto f = entries_fixture{};
         f.write( "i-1", good_entry().dump() );
         f.write( "i-2", value );
-        CHECK( f.board.find( core::target_id( "i-2" ) ) == nullptr );
+        CHECK( f.loads.find( core::target_id( "i-2" ) ) == nullptr );
         CHECK( f.unreadable_lines() == 1 );
         // In place of an entry that could be read: nothing new goes there.
         f.write( "i-3", good_entry().dump() );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -96,7 +96,7 @@
                .targets = targets,
                .speller = speller,
                .reservations = reservations,
-               .board = board,
+               .loads = loads,
                .crashes = crashes,
                .chooser = chooser,
                .asks = placer,
@@ -114,9 +114,9 @@
 {
     coordinator.set_configuration( context.configuration );
     for ( auto const* id : { "m1", "m2", "m3" } )
-        board.put( make_target( id, "model" ) );
+        loads.put( make_target( id, "model" ) );
     for ( auto const* id : { "p1", "p2" } )
-        board.put( make_target( id, "plain" ) );
+        loads.put( make_target( id, "plain" ) );
 }
 
 auto exchange_fixture::request( std::string const& path )
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -382,9 +382,9 @@
     recorded_targets targets;
     plain_speller speller;
     recorded_reservations reservations;
-    exchange::target_board board;
+    exchange::load_table loads;
     exchange::crash_history crashes{ std::chrono::seconds( 6 ) };
-    exchange::placement chooser{ board, core::data_centre_id( "a" ) };
+    exchange::placement chooser{ loads, core::data_centre_id( "a" ) };
     exchange::shared_retry_budget retries{
         { 0.2, 100, std::chrono::seconds( 10 ) } };
     exchange::waiting_room room{ scheduler };
@@ -392,7 +392,7 @@
     recorded_announcements announcer;
     exchange::placement_coordinator coordinator{ core::instance_id( "self" ),
                                                  scheduler,
-                                                 board,
+                                                 loads,
                                                  crashes,
                                                  chooser,
                                                  room,
@@ -402,7 +402,7 @@
                                     scheduler,
                                     alone,
                                     coordinator,
-                                    board,
+                                    loads,
                                     [this]
                                     {
                                         return ++context.last_serial;
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -422,7 +422,7 @@
     : name( "n" + std::to_string( number ) ),
       ip( "10.0.0." + std::to_string( number ) ), fleet_( fleet ),
       speller_( std::make_unique<body_speller>() ),
-      chooser_( board, core::data_centre_id( "a" ) ),
+      chooser_( loads, core::data_centre_id( "a" ) ),
       retries_( { 0.2, 100, std::chrono::seconds( 10 ) } ),
       room_( fleet.scheduler ),
       sender_( std::make_unique<sender>( fleet, ip ) ),
@@ -432,12 +432,12 @@
              { "10.0.0.1", "10.0.0.2", "10.0.0.3" },
              fleet.scheduler,
              *sender_,
-             board,
+             loads,
              crashes,
              log ),
       coordinator_( core::instance_id( name ),
                     fleet.scheduler,
-                    board,
+                    loads,
                     crashes,
                     chooser_,
                     room_,
@@ -446,7 +446,7 @@
                fleet.scheduler,
                group,
                coordinator_,
-               board,
+               loads,
                [this]
                {
                    return ++context.last_serial;
@@ -455,7 +455,7 @@
                .targets = *targets_,
                .speller = *speller_,
                .reservations = reservations_,
-               .board = board,
+               .loads = loads,
                .crashes = crashes,
                .chooser = chooser_,
                .asks = router_,
@@ -612,14 +612,14 @@
 {
     for ( auto const& one : instances_ )
         if ( one )
-            one->board.put( facts );
+            one->loads.put( facts );
 }
 
 auto exchange_fleet::unlist( core::target_id const& id ) -> void
 {
     for ( auto const& one : instances_ )
         if ( one )
-            one->board.mark_gone( id );
+            one->loads.mark_gone( id );
 }
 
 auto exchange_fleet::restart( int number ) -> void
@@ -630,7 +630,7 @@
     silent_.erase( place->ip );
     for ( auto const* service : { &engines, &plain } )
         for ( auto const& facts : service->facts() )
-            place->board.put( facts );
+            place->loads.put( facts );
     for ( auto const& [key, value] : store.records )
         place->records.take( key, value );
 }
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -154,7 +154,7 @@
 
     std::string name;
     std::string ip;
-    exchange::target_board board;
+    exchange::load_table loads;
     exchange::crash_history crashes{ std::chrono::seconds( 6 ) };
     recorded_events log;
 
--- a/tests/support/held_stream.hpp
+++ b/tests/support/held_stream.hpp
@@ -40,7 +40,7 @@
         auto const& last = asks.all.back();
         auto granted = exchange::placement_grant{};
         granted.serial = last.ask.serial;
-        granted.choice.targets = { f.board.find( core::target_id( target ) ) };
+        granted.choice.targets = { f.loads.find( core::target_id( target ) ) };
         granted.choice.parts = { { core::target_id( target ), 20, 6'000 } };
         last.listener->on_granted( granted );
     }
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -240,7 +240,7 @@
                                                .speller = speller_,
                                                .reservations =
                                                    fixture.reservations,
-                                               .board = fixture.board,
+                                               .loads = fixture.loads,
                                                .crashes = fixture.crashes,
                                                .chooser = fixture.chooser,
                                                .asks = fixture.router,
@@ -265,13 +265,13 @@
     fixture.coordinator.set_configuration( changed );
     fixture.reservations.answers_at_once = true;
     for ( auto const* id : { "m1", "m2", "m3" } )
-        fixture.board.remove( core::target_id( id ) );
+        fixture.loads.remove( core::target_id( id ) );
     for ( auto i = 0; i < engine_count; ++i )
     {
         auto facts = make_target( "e" + std::to_string( i ), "model" );
         facts.address = { "10.0.1." + std::to_string( i ), 80 };
         facts.slots = speed.slots;
-        fixture.board.put( facts );
+        fixture.loads.put( facts );
     }
 }
 
