--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -36,7 +36,7 @@
     for ( auto const& [id, t] : context.loads.all() )
         targets.push_back(
             { { "id", id.str() },
-              { "service", t->facts.service.str() },
+              { "service", t->properties.service.str() },
               { "leaving", t->is_leaving() },
               { "gone", t->gone },
               { "may_get_work", t->may_get_work( now ) },
--- a/src/pollenstream/core/name_counts.hpp
+++ b/src/pollenstream/core/name_counts.hpp
@@ -14,7 +14,7 @@
 class name_counts
 {
 public:
-    static constexpr auto most_names = std::size_t{ 32 };
+    static constexpr auto max_names = std::size_t{ 32 };
     /// Under which names are counted that have no place any more.
     static constexpr auto others = "others";
 
@@ -28,7 +28,7 @@
             ++found->second;
             return false;
         }
-        auto const has_place = counts_.size() < most_names;
+        auto const has_place = counts_.size() < max_names;
         ++counts_[has_place ? name : others];
         return has_place;
     }
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -185,7 +185,7 @@
     if ( request_.prompt )
     {
         demand_.prompt_tokens = request_.prompt->prompt_tokens;
-        demand_.output_tokens = request_.prompt->most_output_tokens;
+        demand_.output_tokens = request_.prompt->max_output_tokens;
     }
     is_wide_ = service_->engine && is_wide_prompt( *service_->engine, demand_ );
     last_event_ = request_.last_event;
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -63,7 +63,7 @@
     const -> target_directions
 {
     auto told = target_directions{};
-    told.target = choice.targets.front()->facts.id;
+    told.target = choice.targets.front()->properties.id;
     told.time_left = deadline_ - shared_.scheduler.now();
     told.workspace = workspace_;
     told.last_event = last_event_;
@@ -71,7 +71,8 @@
     // With memory held the first target lists its own part too, in front.
     for ( auto i = std::size_t{ memory ? 0U : 1U }; i < choice.targets.size();
           ++i )
-        told.helpers.push_back( { choice.targets[i]->facts.address, ticket } );
+        told.helpers.push_back(
+            { choice.targets[i]->properties.address, ticket } );
     return told;
 }
 
@@ -107,12 +108,13 @@
     auto const now = shared_.scheduler.now();
     auto const& choice = grant.choice;
     auto const& first = *choice.targets.front();
-    core::check_invariant( core::invariant::leaving_gets_no_work,
-                           first.takes_work() || memory,
-                           "target " + first.facts.id.str() + " is leaving" );
+    core::check_invariant(
+        core::invariant::leaving_gets_no_work, first.takes_work() || memory,
+        "target " + first.properties.id.str() + " is leaving" );
     core::check_invariant( core::invariant::pause_holds,
                            !shared_.loads.is_paused( first.ref(), now ),
-                           "target " + first.facts.id.str() + " is paused" );
+                           "target " + first.properties.id.str() +
+                               " is paused" );
     core::check_invariant( core::invariant::quarantine_holds, !is_quarantined(),
                            "content " + to_string( content_ ) + " sent" );
     ++targets_reached_;
@@ -121,27 +123,28 @@
                            "attempt " + request_.id.str() + " sent again" );
     auto const serial = grant.serial;
     shared_.log.record( request_placed{
-        request_.id, content_, route_->id.str(), first.facts.id, choice.parts,
-        targets_reached_, now - request_.received, deadline_ - now,
-        choice.first_event_ms, demand_.prompt_tokens, choice.basis,
-        configuration_->version, grant.decided_by, last_ask_time_ } );
+        request_.id, content_, route_->id.str(), first.properties.id,
+        choice.parts, targets_reached_, now - request_.received,
+        deadline_ - now, choice.first_event_ms, demand_.prompt_tokens,
+        choice.basis, configuration_->version, grant.decided_by,
+        last_ask_time_ } );
 
     current_ = open_try{};
     auto& opened = *current_;
     opened.serial = serial;
     opened.target = first.ref();
-    opened.address = first.facts.address;
+    opened.address = first.properties.address;
     opened.memory = std::move( memory );
     opened.predicted_ms = choice.first_event_ms;
     opened.sent_at = now;
     opened.heard_at = now;
     opened.watched_from = now;
-    last_target_ = first.facts.id;
+    last_target_ = first.properties.id;
     auto out = outgoing_request{};
     out.id = request_.id;
-    out.target = first.facts.id;
-    out.lifetime = first.facts.lifetime;
-    out.address = first.facts.address;
+    out.target = first.properties.id;
+    out.lifetime = first.properties.lifetime;
+    out.address = first.properties.address;
     out.is_get = request_.method == "GET";
     out.text = std::make_shared<std::string const>( shared_.speller.spell(
         request_, directions( choice, opened.memory ) ) );
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -172,8 +172,8 @@
     auto const& choice = grant.choice;
     auto places = std::vector<reservation_place>{};
     for ( auto i = std::size_t{ 0 }; i < choice.targets.size(); ++i )
-        places.push_back( { choice.targets[i]->facts.id,
-                            choice.targets[i]->facts.address,
+        places.push_back( { choice.targets[i]->properties.id,
+                            choice.targets[i]->properties.address,
                             choice.parts[i].memory_tokens } );
     auto const id = core::reservation_id(
         shared_.self.str() + "." + std::to_string( ++shared_.last_serial ) );
@@ -232,7 +232,7 @@
                              core::error const& why ) -> void
 {
     shared_.log.record( attempt_failed{
-        request_.id, content_, grant.choice.targets.front()->facts.id,
+        request_.id, content_, grant.choice.targets.front()->properties.id,
         "reservation: " + why.detail, false, "wait", core::duration( 0 ),
         events_, core::duration( 0 ) } );
     release( grant.serial, work_outcome::none );
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -52,26 +52,27 @@
     return std::max( 0.0, core::seconds_of( load.read_until - now ) * 1'000 );
 }
 
-auto load_table::put( target_facts facts ) -> target_change
+auto load_table::put( target_properties properties ) -> target_change
 {
-    auto const entry = find( facts.id );
-    if ( !entry || entry->facts.service != facts.service )
+    auto const entry = find( properties.id );
+    if ( !entry || entry->properties.service != properties.service )
     {
-        auto const leaving = facts.leaving;
-        set_entry( std::move( facts ) );
+        auto const leaving = properties.leaving;
+        set_entry( std::move( properties ) );
         return leaving ? target_change::starts_to_leave : target_change::added;
     }
-    if ( facts.lifetime < entry->facts.lifetime )
+    if ( properties.lifetime < entry->properties.lifetime )
         return target_change::none;
-    if ( facts.lifetime > entry->facts.lifetime )
+    if ( properties.lifetime > entry->properties.lifetime )
     {
-        set_entry( std::move( facts ) );
+        set_entry( std::move( properties ) );
         return target_change::restarted;
     }
-    auto const starts_to_leave = facts.leaving && !entry->facts.leaving;
+    auto const starts_to_leave =
+        properties.leaving && !entry->properties.leaving;
     // A target that has begun to leave does not come back in one lifetime.
-    facts.leaving = facts.leaving || entry->facts.leaving;
-    entry->facts = std::move( facts );
+    properties.leaving = properties.leaving || entry->properties.leaving;
+    entry->properties = std::move( properties );
     entry->gone = false;
     return starts_to_leave ? target_change::starts_to_leave
                            : target_change::none;
@@ -79,14 +80,14 @@
 
 /// Open work keeps the entry on which it was counted, so that what ends later
 /// is taken off there and not off the new entry.
-auto load_table::set_entry( target_facts facts ) -> void
+auto load_table::set_entry( target_properties properties ) -> void
 {
     auto fresh = std::make_shared<target_entry>();
-    fresh->rank = core::stable_hash( facts.id.str() );
-    fresh->facts = std::move( facts );
-    pauses_.erase( fresh->facts.id );
-    limited_.erase( fresh->facts.id );
-    auto& entry = by_id_[fresh->facts.id];
+    fresh->rank = core::stable_hash( properties.id.str() );
+    fresh->properties = std::move( properties );
+    pauses_.erase( fresh->properties.id );
+    limited_.erase( fresh->properties.id );
+    auto& entry = by_id_[fresh->properties.id];
     auto const former = std::exchange( entry, fresh );
     if ( former )
         erase_from_order( former );
@@ -116,7 +117,7 @@
 auto load_table::insert_in_order( std::shared_ptr<target_entry> const& entry )
     -> void
 {
-    auto& order = by_service_[entry->facts.service];
+    auto& order = by_service_[entry->properties.service];
     auto const at = std::lower_bound( order.begin(), order.end(), entry->rank,
                                       []( auto const& t, std::uint64_t rank )
                                       {
@@ -128,7 +129,7 @@
 auto load_table::erase_from_order( std::shared_ptr<target_entry> const& entry )
     -> void
 {
-    std::erase( by_service_[entry->facts.service], entry );
+    std::erase( by_service_[entry->properties.service], entry );
 }
 
 auto load_table::find( core::target_id const& id ) const
@@ -142,7 +143,7 @@
     -> std::shared_ptr<target_entry>
 {
     auto const at = find( ref.id );
-    return at && at->facts.lifetime == ref.lifetime ? at : nullptr;
+    return at && at->properties.lifetime == ref.lifetime ? at : nullptr;
 }
 
 auto load_table::find_by_name( std::string const& name ) const
@@ -152,7 +153,7 @@
         return by_id;
     for ( auto const& [id, entry] : by_id_ )
         if ( entry->takes_work() &&
-             core::to_string( entry->facts.address ) == name )
+             core::to_string( entry->properties.address ) == name )
             return entry;
     return nullptr;
 }
@@ -301,7 +302,7 @@
     count_memory( known, 1 );
     if ( known.at.empty() || !known.at.front() )
         return;
-    note_arrival( known.at.front()->facts.service, known.work, now );
+    note_arrival( known.at.front()->properties.service, known.work, now );
     auto& load = known.at.front()->load;
     ++load.requests;
     load.suspects += known.work.is_suspect ? 1 : 0;
@@ -406,7 +407,8 @@
     if ( !at )
         return false;
     auto const told = at->told ? at->told->running + at->told->waiting : 0;
-    auto const is_full = std::max( at->load.requests, told ) >= at->facts.slots;
+    auto const is_full =
+        std::max( at->load.requests, told ) >= at->properties.slots;
     if ( how == target_failure::turned_away && is_full )
         return false;
     auto& health = at->health;
@@ -527,7 +529,7 @@
     for ( auto const& [id, until] : pauses_ )
     {
         auto const at = find( id );
-        if ( until > now && at && at->facts.service == service )
+        if ( until > now && at && at->properties.service == service )
             all.push_back( { id, until } );
     }
     return all;
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -42,7 +42,7 @@
 };
 
 /// What the registry says of a target.
-struct target_facts
+struct target_properties
 {
     core::target_id id;
     core::target_lifetime lifetime;
@@ -142,7 +142,7 @@
 /// One target on the board.
 struct target_entry
 {
-    target_facts facts;
+    target_properties properties;
     std::uint64_t rank{ 0 }; ///< same order on every instance
     target_load load;
     target_health health;
@@ -157,11 +157,11 @@
 
     [[nodiscard]] auto ref() const -> target_ref
     {
-        return { facts.id, facts.lifetime };
+        return { properties.id, properties.lifetime };
     }
     [[nodiscard]] auto is_leaving() const -> bool
     {
-        return facts.leaving || said_leaving;
+        return properties.leaving || said_leaving;
     }
     /// False once it leaves or has left.
     [[nodiscard]] auto takes_work() const -> bool
@@ -202,7 +202,7 @@
     /// Adds a target or takes over what has changed of it. A later lifetime is
     /// a new target: open work, memory, load and failures of the former one are
     /// not counted on it. Facts of a former lifetime change nothing.
-    auto put( target_facts facts ) -> target_change;
+    auto put( target_properties properties ) -> target_change;
     auto remove( core::target_id const& id ) -> void;
     /// The registry no longer lists the target: it gets no new work unless
     /// its entry comes back.
@@ -362,7 +362,7 @@
     auto uncount( known_work& known, core::instant now ) -> void;
     auto insert_in_order( std::shared_ptr<target_entry> const& entry ) -> void;
     auto erase_from_order( std::shared_ptr<target_entry> const& entry ) -> void;
-    auto set_entry( target_facts facts ) -> void;
+    auto set_entry( target_properties properties ) -> void;
 
     target_map by_id_;
     std::unordered_map<core::service_id,
--- a/src/pollenstream/exchange/message.hpp
+++ b/src/pollenstream/exchange/message.hpp
@@ -28,10 +28,10 @@
 using header_list = std::vector<header_field>;
 
 /// A prompt as the caller describes it.
-struct prompt_facts
+struct prompt_properties
 {
     std::int64_t prompt_tokens{ 0 };
-    std::int64_t most_output_tokens{ 0 };
+    std::int64_t max_output_tokens{ 0 };
     std::int64_t expected_output_tokens{ 0 }; ///< 0: not told
 };
 
@@ -47,7 +47,7 @@
     std::string body;
     std::optional<core::duration> time_limit;
     std::optional<std::int64_t> last_event; ///< the caller has events up to it
-    std::optional<prompt_facts> prompt;
+    std::optional<prompt_properties> prompt;
     core::instant received;
 };
 
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -129,8 +129,9 @@
 auto is_left( placement_demand const& demand, target_entry const& target )
     -> bool
 {
-    return target.takes_work() && !contains( demand.tried, target.facts.id ) &&
-           !contains( demand.paused, target.facts.id );
+    return target.takes_work() &&
+           !contains( demand.tried, target.properties.id ) &&
+           !contains( demand.paused, target.properties.id );
 }
 
 /// True where a limit leaves room for as many requests as the target serves at
@@ -141,7 +142,7 @@
     auto const in_window =
         limit.value_or( 0 ) * core::seconds_of( sent_times::window );
     auto const sent = static_cast<double>( target.limit.sent_lately( now ) );
-    return in_window - sent >= static_cast<double>( target.facts.slots );
+    return in_window - sent >= static_cast<double>( target.properties.slots );
 }
 
 auto basis_of( std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -373,14 +374,14 @@
     auto best_load = std::numeric_limits<double>::infinity();
     for ( auto const& t : targets )
     {
-        auto const slots =
-            static_cast<double>( std::max<std::int64_t>( 1, t->facts.slots ) );
+        auto const slots = static_cast<double>(
+            std::max<std::int64_t>( 1, t->properties.slots ) );
         auto busy = static_cast<double>( t->load.requests );
         if ( t->told && now - t->told_at < told_is_fresh )
             busy = std::max( busy, static_cast<double>( t->told->running +
                                                         t->told->waiting ) );
         auto load = busy / slots;
-        if ( t->facts.data_centre != own_data_centre_ )
+        if ( t->properties.data_centre != own_data_centre_ )
             load += far_place_load;
         if ( load < best_load )
         {
@@ -390,7 +391,8 @@
     }
     auto choice = placement_choice{};
     choice.targets.push_back( best );
-    choice.parts.push_back( { best->facts.id, 0, 0, best->facts.lifetime } );
+    choice.parts.push_back(
+        { best->properties.id, 0, 0, best->properties.lifetime } );
     return { choice, no_choice::full };
 }
 
@@ -442,8 +444,8 @@
     auto const& best = drawn_from( preferred, demand.draw );
     auto choice = placement_choice{};
     choice.targets.push_back( best.target );
-    choice.parts.push_back( { best.target->facts.id, own_read, memory,
-                              best.target->facts.lifetime } );
+    choice.parts.push_back( { best.target->properties.id, own_read, memory,
+                              best.target->properties.lifetime } );
     choice.first_event_ms = best.first_ms;
     return { choice, no_choice::full };
 }
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -382,7 +382,7 @@
     for ( auto const& target : choice.targets )
         core::check_invariant( core::invariant::limit_holds,
                                load_table_.may_send( *target, use, now ),
-                               "target " + target->facts.id.str() +
+                               "target " + target->properties.id.str() +
                                    " is granted over its limit" );
     if ( use == limit_use::unasked )
         load_table_.note_unasked( work.parts, now );
--- a/src/pollenstream/exchange/placement_lateness.cpp
+++ b/src/pollenstream/exchange/placement_lateness.cpp
@@ -25,7 +25,7 @@
 {
     auto const countable = static_cast<std::size_t>(
         static_cast<double>( engines ) * countable_share );
-    auto const parts = std::clamp( countable, std::size_t{ 1 }, most_helpers );
+    auto const parts = std::clamp( countable, std::size_t{ 1 }, max_helpers );
     return read_ms( speed, demand.prompt_tokens ) /
            static_cast<double>( parts );
 }
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -51,16 +51,16 @@
                                    static_cast<double>( targets.size() );
 }
 
-/// What placing a prompt of `total_ms` of reading in at most `most_parts` of
+/// What placing a prompt of `total_ms` of reading in at most `max_parts` of
 /// the engines may cost others.
 auto limit_for( placement_demand const& demand,
                 std::vector<std::shared_ptr<target_entry>> const& targets,
-                std::size_t most_parts,
+                std::size_t max_parts,
                 double total_ms,
                 core::instant now ) -> harm_limit
 {
     auto limit = harm_allowed( demand, targets.size() );
-    limit.most_parts = static_cast<double>( most_parts );
+    limit.max_parts = static_cast<double>( max_parts );
     limit.alone_ms = demand.is_alone ? total_ms : 0.0;
     limit.part_cost_ms = part_cost( targets, now );
     return limit;
@@ -74,9 +74,9 @@
     {
         choice.targets.push_back( r.target );
         choice.parts.push_back(
-            { r.target->facts.id,
+            { r.target->properties.id,
               part_time_ms( speed, *r.target, divided.part_ms ), 0,
-              r.target->facts.lifetime } );
+              r.target->properties.lifetime } );
     }
     choice.first_event_ms =
         divided.finish_ms + pass_ms( speed, *choice.targets.front() );
@@ -99,13 +99,13 @@
     auto const total = read_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
-    auto const most_parts = std::min( targets.size(), most_helpers + 1 );
-    auto const limit = limit_for( demand, targets, most_parts, total, now );
+    auto const max_parts = std::min( targets.size(), max_helpers + 1 );
+    auto const limit = limit_for( demand, targets, max_parts, total, now );
     // The longer a request waits, the fewer engines it makes do with.
     auto const most_part = ms_of( demand.gap_objective ) * part_of_own_gap *
                            ( 1 + core::seconds_of( demand.waited ) );
     auto best = std::optional<division>{};
-    for ( auto parts = std::size_t{ 1 }; parts <= most_parts; ++parts )
+    for ( auto parts = std::size_t{ 1 }; parts <= max_parts; ++parts )
     {
         auto const part_ms = total / static_cast<double>( parts );
         if ( part_ms > most_part )
@@ -180,15 +180,15 @@
     auto const service_targets =
         load_table_.of_service( demand.service ).size();
     if ( memory > most * static_cast<std::int64_t>(
-                             std::min( service_targets, most_helpers ) ) )
+                             std::min( service_targets, max_helpers ) ) )
         return nothing( no_choice::too_large );
-    auto const most_parts = std::min( targets.size(), most_helpers );
-    auto const limit = limit_for( demand, targets, most_parts, total, now );
+    auto const max_parts = std::min( targets.size(), max_helpers );
+    auto const limit = limit_for( demand, targets, max_parts, total, now );
     auto const most_part =
         std::max( ms_of( demand.latency_objective ) * part_of_objective,
-                  total / static_cast<double>( most_parts ) );
+                  total / static_cast<double>( max_parts ) );
     auto best = std::optional<division>{};
-    for ( auto parts = std::size_t{ 2 }; parts <= most_parts; ++parts )
+    for ( auto parts = std::size_t{ 2 }; parts <= max_parts; ++parts )
     {
         auto const part_ms = total / static_cast<double>( parts );
         if ( part_ms > most_part )
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -81,11 +81,11 @@
 auto latest_for( harm_limit const& limit, std::size_t parts ) -> double
 {
     auto const share = static_cast<double>( parts ) / limit.engines;
-    auto const most_parts =
-        limit.is_late ? std::min( limit.most_parts, limit.engines * late_share )
-                      : limit.most_parts;
-    auto const longest = static_cast<double>( parts ) <= most_parts
-                             ? limit.alone_ms / most_parts * least_finish_parts
+    auto const max_parts =
+        limit.is_late ? std::min( limit.max_parts, limit.engines * late_share )
+                      : limit.max_parts;
+    auto const longest = static_cast<double>( parts ) <= max_parts
+                             ? limit.alone_ms / max_parts * least_finish_parts
                              : 0.0;
     return std::max(
         { limit.latest_ms, longest,
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -17,7 +17,7 @@
 inline constexpr auto deepest_backlog_ms = 1'500.0;
 
 /// The platform's engines take so many helpers at most beside the first.
-inline constexpr auto most_helpers = std::size_t{ 16 };
+inline constexpr auto max_helpers = std::size_t{ 16 };
 
 /// Memory in tokens that each of `parts` engines holds of a prompt.
 constexpr auto part_memory( std::int64_t memory, std::size_t parts )
@@ -46,11 +46,11 @@
 /// What a placement may cost others.
 struct harm_limit
 {
-    double weight{ 0 };     ///< that may be made late to have this one in time
-    double until_ms{ 0 };   ///< when it has to be read to be in time
-    double latest_ms{ 0 };  ///< when it has to be read if it takes all engines
-    double engines{ 0 };    ///< that could take it
-    double most_parts{ 0 }; ///< into which a prompt may be divided
+    double weight{ 0 };    ///< that may be made late to have this one in time
+    double until_ms{ 0 };  ///< when it has to be read to be in time
+    double latest_ms{ 0 }; ///< when it has to be read if it takes all engines
+    double engines{ 0 };   ///< that could take it
+    double max_parts{ 0 }; ///< into which a prompt may be divided
     /// Reading time of the whole prompt; zero while others wait.
     double alone_ms{ 0 };
     bool is_late{ false }; ///< it is past its objective
--- a/src/pollenstream/exchange/request_pace.cpp
+++ b/src/pollenstream/exchange/request_pace.cpp
@@ -78,7 +78,7 @@
     auto const due = due_ + core::duration_of( ( 1 / share - 1 ) / rate_ );
     auto const in_window =
         std::floor( rate_ * share * core::seconds_of( sent_times::window ) );
-    if ( in_window >= static_cast<double>( sent_times::most_kept ) )
+    if ( in_window >= static_cast<double>( sent_times::max_kept ) )
         return due;
     auto const most = static_cast<std::size_t>( in_window ) + 1;
     return std::max( due, sent.fewer_than( most ) );
--- a/src/pollenstream/exchange/sent_times.cpp
+++ b/src/pollenstream/exchange/sent_times.cpp
@@ -8,7 +8,7 @@
 auto sent_times::add( core::instant at ) -> void
 {
     times_.insert( std::upper_bound( times_.begin(), times_.end(), at ), at );
-    while ( times_.size() > most_kept ||
+    while ( times_.size() > max_kept ||
             times_.front() + window < times_.back() )
         times_.pop_front();
 }
--- a/src/pollenstream/exchange/sent_times.hpp
+++ b/src/pollenstream/exchange/sent_times.hpp
@@ -20,7 +20,7 @@
     /// Over which a target's limit is kept: what was sent earlier has no
     /// bearing on it.
     static constexpr auto window = core::duration( std::chrono::seconds( 4 ) );
-    static constexpr auto most_kept = std::size_t{ 1'024 };
+    static constexpr auto max_kept = std::size_t{ 1'024 };
 
     /// News of others come late, and not in order.
     auto add( core::instant at ) -> void;
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -52,7 +52,7 @@
     auto const at = context_.loads.find_lifetime( last.target );
     if ( !at || at->gone )
         return context_.crashes.prove( last.content );
-    probe_.probe( at->facts.address,
+    probe_.probe( at->properties.address,
                   [this, last, lives = std::weak_ptr( lives_ )]( auto listens )
                   {
                       if ( lives.expired() )
--- a/src/pollenstream/registry/registry_codec.hpp
+++ b/src/pollenstream/registry/registry_codec.hpp
@@ -36,7 +36,7 @@
         -> core::target_id = 0;
     [[nodiscard]] virtual auto read_target( std::string const& key,
                                             std::string const& value ) const
-        -> core::result<exchange::target_facts> = 0;
+        -> core::result<exchange::target_properties> = 0;
     /// Key under which an instance of this system registers.
     [[nodiscard]] virtual auto instance_key( core::instance_id const& id ) const
         -> std::string = 0;
--- a/tests/core/name_counts_test.cpp
+++ b/tests/core/name_counts_test.cpp
@@ -9,7 +9,7 @@
     auto counts = name_counts{};
     CHECK( counts.add( "first" ) );
     CHECK_FALSE( counts.add( "first" ) );
-    for ( auto i = std::size_t{ 1 }; i < name_counts::most_names; ++i )
+    for ( auto i = std::size_t{ 1 }; i < name_counts::max_names; ++i )
         CHECK( counts.add( std::to_string( i ) ) );
     CHECK_FALSE( counts.add( "one more" ) );
     CHECK_FALSE( counts.add( "another" ) );
--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -169,7 +169,7 @@
             fleet.call( i % fleet.size(), "/chat/o", std::to_string( i ) ) );
         if ( i % 20 == 19 )
         {
-            auto const listed = fleet.engines.facts();
+            auto const listed = fleet.engines.properties();
             fleet.engines.crash( listed[draw() % listed.size()].id );
         }
         fleet.scheduler.run( 25ms );
@@ -193,7 +193,7 @@
         if ( i < 200 && i % 2 == 1 )
             for ( auto* const service : { &fleet.engines, &fleet.plain } )
             {
-                auto const listed = service->facts();
+                auto const listed = service->properties();
                 service->cut( listed[draw() % listed.size()].id );
             }
         fleet.scheduler.run( 25ms );
@@ -271,9 +271,9 @@
         request.body = "beside";
         auto const content =
             exchange::content_of( request, core::workspace_id( "ws" ) );
-        for ( auto const& facts : fleet.engines.facts() )
+        for ( auto const& properties : fleet.engines.properties() )
             fleet.at( 1 ).crashes.note_crash(
-                { content, facts.id, fleet.scheduler.now() } );
+                { content, properties.id, fleet.scheduler.now() } );
         return content;
     }();
     fleet.scheduler.run( 3s );
@@ -311,8 +311,8 @@
             for ( auto cuts = 0; cuts < 2; ++cuts )
             {
                 fleet.scheduler.run( 10ms );
-                for ( auto const& facts : service.facts() )
-                    service.cut( facts.id );
+                for ( auto const& properties : service.properties() )
+                    service.cut( properties.id );
             }
         }
         calls.push_back( fleet.call( i % fleet.size(), path, body ) );
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -387,7 +387,7 @@
     auto const helper =
         core::target_id( first == core::target_id( "m1" ) ? "m2" : "m1" );
     auto const address =
-        core::to_string( f.loads.find( helper )->facts.address );
+        core::to_string( f.loads.find( helper )->properties.address );
     SECTION( "named by its address" )
     {
         f.targets.all[0]->turn_away( 503, address );
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -217,16 +217,17 @@
 {
     auto loads = exchange::load_table{};
     auto const id = core::target_id( "m1" );
-    auto facts = make_target( "m1", "model" );
-    loads.put( facts );
+    auto properties = make_target( "m1", "model" );
+    loads.put( properties );
     loads.mark_gone( id );
     CHECK_FALSE( loads.find( id )->takes_work() );
-    loads.put( facts );
+    loads.put( properties );
     CHECK( loads.find( id )->takes_work() );
-    facts.leaving = true;
-    CHECK( loads.put( facts ) == exchange::target_change::starts_to_leave );
-    facts.leaving = false;
-    CHECK( loads.put( facts ) == exchange::target_change::none );
+    properties.leaving = true;
+    CHECK( loads.put( properties ) ==
+           exchange::target_change::starts_to_leave );
+    properties.leaving = false;
+    CHECK( loads.put( properties ) == exchange::target_change::none );
     CHECK_FALSE( loads.find( id )->takes_work() );
 }
 
@@ -256,7 +257,7 @@
     {
         auto all = std::vector<std::string>{};
         for ( auto const& t : loads.of_service( core::service_id( "model" ) ) )
-            all.push_back( t->facts.id.str() );
+            all.push_back( t->properties.id.str() );
         return all;
     };
     auto up = exchange::load_table{};
--- a/tests/exchange/pause_test.cpp
+++ b/tests/exchange/pause_test.cpp
@@ -128,7 +128,7 @@
            "[exchange][pause]" )
 {
     auto fleet = exchange_fleet( 3, 6, 2 );
-    auto const first = fleet.plain.facts().front().id;
+    auto const first = fleet.plain.properties().front().id;
     fleet.plain.turn_away( first, "n1", 2s );
     auto number = 0;
     auto const start = fleet.scheduler.now();
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -175,7 +175,7 @@
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
-    f.loads.find( core::target_id( "e0" ) )->facts.leaving = true;
+    f.loads.find( core::target_id( "e0" ) )->properties.leaving = true;
     auto const waits = f.ask( "b", 1, 60'000 );
     f.scheduler.run( 13s );
     CHECK( f.coordinator.waiting() == 0 );
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -118,7 +118,7 @@
     {
         REQUIRE( floor.place( 5'000, 200ms ) );
         floor.end_reading( floor.serial );
-        used.insert( floor.last.choice->targets[0]->facts.id.str() );
+        used.insert( floor.last.choice->targets[0]->properties.id.str() );
     }
     // 60 requests over 13 packed slots an engine.
     CHECK( used.size() <= 6 );
@@ -132,16 +132,16 @@
     {
         REQUIRE( floor.place( 5'000, 200ms ) );
         floor.end_reading( floor.serial );
-        used.insert( floor.last.choice->targets[0]->facts.id.str() );
+        used.insert( floor.last.choice->targets[0]->properties.id.str() );
     }
     REQUIRE( floor.place( 210'000, 800ms ) );
     CHECK( floor.last.choice->targets.size() >= 7 );
     for ( auto const& t : floor.last.choice->targets )
-        CHECK( used.count( t->facts.id.str() ) == 0 );
+        CHECK( used.count( t->properties.id.str() ) == 0 );
     // A dossier spoils short pauses too, though its own route is patient.
     REQUIRE( floor.place( 45'000, 500ms ) );
     for ( auto const& t : floor.last.choice->targets )
-        CHECK( used.count( t->facts.id.str() ) == 0 );
+        CHECK( used.count( t->properties.id.str() ) == 0 );
 }
 
 TEST_CASE( "a long prompt waits where every engine writes short answers",
@@ -199,11 +199,11 @@
 {
     auto floor = engine_floor{};
     REQUIRE( floor.place( 210'000, 800ms ) );
-    auto const writer = floor.last.choice->targets[0]->facts.id;
+    auto const writer = floor.last.choice->targets[0]->properties.id;
     REQUIRE( floor.wait_and_place( 210'000, 800ms ) < 3s );
     for ( auto i = std::size_t{ 1 }; i < floor.last.choice->targets.size();
           ++i )
-        CHECK( floor.last.choice->targets[i]->facts.id != writer );
+        CHECK( floor.last.choice->targets[i]->properties.id != writer );
 }
 
 TEST_CASE( "a prompt that no engine has room for is reserved at several",
@@ -246,12 +246,14 @@
     auto const settings = exchange::service_settings{};
     auto result = f.chooser.choose( demand, settings, f.scheduler.now() );
     REQUIRE( result.choice );
-    CHECK( result.choice->targets[0]->facts.id == core::target_id( "p2" ) );
+    CHECK( result.choice->targets[0]->properties.id ==
+           core::target_id( "p2" ) );
     f.loads.mark_gone( core::target_id( "p2" ) );
     // Better a target that failed than none.
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     REQUIRE( result.choice );
-    CHECK( result.choice->targets[0]->facts.id == core::target_id( "p1" ) );
+    CHECK( result.choice->targets[0]->properties.id ==
+           core::target_id( "p1" ) );
     f.loads.mark_gone( core::target_id( "p1" ) );
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     CHECK_FALSE( result.choice );
@@ -353,7 +355,7 @@
         floor.draw = ( i + 0.5 ) / 9;
         auto const result = floor.choose( 5'000, 200ms );
         REQUIRE( result.choice );
-        ++at_engine[result.choice->targets[0]->facts.id.str()];
+        ++at_engine[result.choice->targets[0]->properties.id.str()];
     }
     for ( auto const& [id, count] : at_engine )
         CHECK( count <= 4 );
@@ -366,7 +368,7 @@
             floor.draw = ( i + 0.5 ) / 9;
             ++at_engine[floor.choose( 5'000, 200ms )
                             .choice->targets[0]
-                            ->facts.id.str()];
+                            ->properties.id.str()];
         }
         CHECK( at_engine.size() == 1 );
     }
@@ -379,14 +381,14 @@
     REQUIRE( floor.place( 300'000, 800ms ) );
     auto first = std::set<std::string>{};
     for ( auto const& t : floor.last.choice->targets )
-        first.insert( t->facts.id.str() );
+        first.insert( t->properties.id.str() );
     REQUIRE( first.size() >= 10 );
     // A part that came now would be read before the one that waits.
     floor.now += 260ms;
     floor.waited = 2s;
     if ( floor.place( 210'000, 800ms ) )
         for ( auto const& t : floor.last.choice->targets )
-            CHECK( first.count( t->facts.id.str() ) == 0 );
+            CHECK( first.count( t->properties.id.str() ) == 0 );
     SECTION( "and is free as soon as that has ended" )
     {
         floor.now += 300ms;
@@ -433,7 +435,7 @@
         {
             REQUIRE( floor.place( 5'000, 200ms ) );
             CHECK( floor.last.choice->first_event_ms < 225 );
-            ++at[floor.last.choice->targets[0]->facts.id.str()];
+            ++at[floor.last.choice->targets[0]->properties.id.str()];
         }
         CHECK( at.size() >= 3 );
         CHECK( at.size() <= 5 );
@@ -444,7 +446,7 @@
         for ( auto i = 0; i < 12; ++i )
         {
             REQUIRE( floor.place( 5'000, 200ms ) );
-            ++at[floor.last.choice->targets[0]->facts.id.str()];
+            ++at[floor.last.choice->targets[0]->properties.id.str()];
         }
         CHECK( at.size() <= 3 );
     }
@@ -474,8 +476,9 @@
     for ( auto i = 0; i < 16; ++i )
     {
         REQUIRE( f.place( 5'000, 200ms ) );
-        CHECK( used.insert( f.last.choice->targets.front()->facts.id.str() )
-                   .second );
+        CHECK(
+            used.insert( f.last.choice->targets.front()->properties.id.str() )
+                .second );
     }
     SECTION( "unless there are more of them than engines" )
     {
--- a/tests/exchange/reservation_test.cpp
+++ b/tests/exchange/reservation_test.cpp
@@ -13,7 +13,7 @@
 {
     auto r = f.request( "/audit/x" );
     r.time_limit = 15s;
-    r.prompt = exchange::prompt_facts{ 500'000, 1'000, 0 };
+    r.prompt = exchange::prompt_properties{ 500'000, 1'000, 0 };
     // Three engines read half a million tokens in about four seconds: the
     // last chance before the caller leaves.
     auto started = f.start( r );
--- a/tests/exchange/told_limit_test.cpp
+++ b/tests/exchange/told_limit_test.cpp
@@ -36,19 +36,19 @@
     auto const limit = GENERATE( 1.3, 8.0 );
     auto fleet = exchange_fleet( instances, 3, 3 );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
-    for ( auto const& facts : service.facts() )
-        service.name_limit( facts.id, limit );
+    for ( auto const& properties : service.properties() )
+        service.name_limit( properties.id, limit );
     auto calls = steady_calls{ fleet, path };
     calls.play( 6s, 20ms );
     auto const settled = fleet.scheduler.now();
     calls.play( 12s, 20ms );
     auto const end = fleet.scheduler.now();
     fleet.scheduler.run( 3s );
-    for ( auto const& facts : service.facts() )
+    for ( auto const& properties : service.properties() )
     {
-        CHECK( most_in_window( service.runs, facts.id, settled ) <=
+        CHECK( most_in_window( service.runs, properties.id, settled ) <=
                within_limit( limit ) );
-        CHECK( count_between( service.runs, facts.id, settled, end ) >=
+        CHECK( count_between( service.runs, properties.id, settled, end ) >=
                0.9 * limit * 12 );
     }
 }
--- a/tests/exchange/told_limit_trouble_test.cpp
+++ b/tests/exchange/told_limit_trouble_test.cpp
@@ -14,8 +14,8 @@
 auto limit_all( fleet_targets& service, std::optional<double> per_second )
     -> void
 {
-    for ( auto const& facts : service.facts() )
-        service.name_limit( facts.id, per_second );
+    for ( auto const& properties : service.properties() )
+        service.name_limit( properties.id, per_second );
 }
 
 auto check_all( fleet_targets const& service,
@@ -23,8 +23,9 @@
                 double most,
                 run_filter const& counts = {} ) -> void
 {
-    for ( auto const& facts : service.facts() )
-        CHECK( most_in_window( service.runs, facts.id, from, counts ) <= most );
+    for ( auto const& properties : service.properties() )
+        CHECK( most_in_window( service.runs, properties.id, from, counts ) <=
+               most );
 }
 
 }
@@ -104,8 +105,8 @@
     auto const settled = fleet.scheduler.now();
     calls.play( 6s, 20ms );
     check_all( calls.service(), settled, within_limit( 2.7 ) + 1 );
-    for ( auto const& facts : calls.service().facts() )
-        CHECK( count_between( calls.service().runs, facts.id, settled,
+    for ( auto const& properties : calls.service().properties() )
+        CHECK( count_between( calls.service().runs, properties.id, settled,
                               fleet.scheduler.now() ) >= 0.9 * 2.7 * 6 );
 }
 
@@ -170,15 +171,17 @@
            "[exchange][limit]" )
 {
     auto loads = exchange::load_table{};
-    auto facts = make_target( "m1", "model" );
-    loads.put( facts );
-    auto const former = exchange::target_ref( facts.id, facts.lifetime );
+    auto properties = make_target( "m1", "model" );
+    loads.put( properties );
+    auto const former =
+        exchange::target_ref( properties.id, properties.lifetime );
     auto const now = core::instant( 100s );
     loads.note_limit( former, { 1.3, now, now }, now );
-    REQUIRE( loads.find( facts.id )->limit.per_second() );
-    facts.lifetime = core::target_lifetime( facts.lifetime.count() + 1 );
-    loads.put( facts );
-    CHECK_FALSE( loads.find( facts.id )->limit.per_second() );
+    REQUIRE( loads.find( properties.id )->limit.per_second() );
+    properties.lifetime =
+        core::target_lifetime( properties.lifetime.count() + 1 );
+    loads.put( properties );
+    CHECK_FALSE( loads.find( properties.id )->limit.per_second() );
     // News of the former one come late.
     CHECK( loads.note_limit( former, { 1.3, now, now }, now ) ==
            exchange::limit_change::none );
@@ -192,7 +195,7 @@
     auto fleet = exchange_fleet( 3, 2, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto calls = steady_calls{ fleet, path };
-    auto const first = calls.service().facts().front().id;
+    auto const first = calls.service().properties().front().id;
     limit_all( calls.service(), 0.5 );
     calls.play( 8s, 20ms );
     limit_all( calls.service(), 4.0 );
--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/told_state_test.cpp
@@ -71,8 +71,8 @@
     if ( status != 200 )
         f.targets.all.at( 1 )->answer( 200, "body" );
     // The registry's news may be older than the answer.
-    auto facts = make_target( leaves.str(), "plain" );
-    f.loads.put( facts );
+    auto properties = make_target( leaves.str(), "plain" );
+    f.loads.put( properties );
     for ( auto i = 0; i < 8; ++i )
     {
         auto const before = f.targets.all.size();
@@ -141,7 +141,7 @@
     };
     play( 1s );
     // The registry does not hear of it.
-    auto const leaves = service.facts().front().id;
+    auto const leaves = service.properties().front().id;
     service.leave( leaves );
     play( 1s );
     auto const later = fleet.scheduler.now();
--- a/tests/peers/placement_router_test.cpp
+++ b/tests/peers/placement_router_test.cpp
@@ -119,7 +119,7 @@
     f.answer( "c1", 1, peers::ask_decision::granted );
     REQUIRE( f.heard->grants.size() == 1 );
     CHECK( f.heard->grants[0].decided_by == core::instance_id( "c1" ) );
-    CHECK( f.heard->grants[0].choice.targets[0]->facts.id ==
+    CHECK( f.heard->grants[0].choice.targets[0]->properties.id ==
            core::target_id( "m1" ) );
     SECTION( "once, and one that comes twice is not given back" )
     {
--- a/tests/registry/registry_watch_test.cpp
+++ b/tests/registry/registry_watch_test.cpp
@@ -39,13 +39,13 @@
     }
     [[nodiscard]] auto read_target( std::string const& key,
                                     std::string const& value ) const
-        -> core::result<exchange::target_facts> override
+        -> core::result<exchange::target_properties> override
     {
         if ( value == "bad" )
             return core::error{ core::error_code::malformed, "bad" };
-        auto facts = make_target( key.substr( 2 ), "plain" );
-        facts.leaving = value == "leaving";
-        return facts;
+        auto properties = make_target( key.substr( 2 ), "plain" );
+        properties.leaving = value == "leaving";
+        return properties;
     }
     [[nodiscard]] auto instance_key( core::instance_id const& id ) const
         -> std::string override
--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -252,13 +252,13 @@
                 value.insert( at, 1, static_cast<char>( random() % 256 ) );
             }
         }
-        auto const facts = records.read_target( "servers/i-1", value );
-        if ( facts.has_error() )
+        auto const properties = records.read_target( "servers/i-1", value );
+        if ( properties.has_error() )
             continue;
         ++read;
-        CHECK( facts.value().slots >= 1 );
-        CHECK_FALSE( facts.value().service.empty() );
-        CHECK_FALSE( facts.value().address.ip.empty() );
+        CHECK( properties.value().slots >= 1 );
+        CHECK_FALSE( properties.value().service.empty() );
+        CHECK_FALSE( properties.value().address.ip.empty() );
     }
     // Many changes leave the entry readable, such as those of a name.
     CHECK( read > 50 );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -76,17 +76,17 @@
 }
 
 auto make_target( std::string const& id, std::string const& service )
-    -> exchange::target_facts
+    -> exchange::target_properties
 {
-    auto facts = exchange::target_facts{};
-    facts.id = core::target_id( id );
-    facts.service = core::service_id( service );
-    facts.address = { "10.0.0.1",
-                      static_cast<std::uint16_t>(
-                          1000 + std::hash<std::string>{}( id ) % 1000 ) };
-    facts.data_centre = core::data_centre_id( "a" );
-    facts.slots = service == "model" ? 16 : 6;
-    return facts;
+    auto properties = exchange::target_properties{};
+    properties.id = core::target_id( id );
+    properties.service = core::service_id( service );
+    properties.address = { "10.0.0.1",
+                           static_cast<std::uint16_t>(
+                               1000 + std::hash<std::string>{}( id ) % 1000 ) };
+    properties.data_centre = core::data_centre_id( "a" );
+    properties.slots = service == "model" ? 16 : 6;
+    return properties;
 }
 
 exchange_fixture::exchange_fixture() : exchange_fixture( router ) {}
@@ -132,7 +132,7 @@
     r.received = scheduler.now();
     if ( path.starts_with( "/chat/" ) || path.starts_with( "/audit/" ) ||
          path.starts_with( "/once/" ) )
-        r.prompt = exchange::prompt_facts{ 5'000, 1'600, 0 };
+        r.prompt = exchange::prompt_properties{ 5'000, 1'600, 0 };
     return r;
 }
 
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -423,7 +423,7 @@
 auto sample_configuration( int version ) -> exchange::configuration_ptr;
 
 auto make_target( std::string const& id, std::string const& service )
-    -> exchange::target_facts;
+    -> exchange::target_properties;
 
 }
 
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -209,16 +209,17 @@
 auto fleet_targets::add() -> void
 {
     auto const number = ++last_;
-    auto facts =
+    auto properties =
         make_target( service_ + "-" + std::to_string( number ), service_ );
-    facts.address.ip = service_;
-    facts.address.port = static_cast<std::uint16_t>( 1'000 + number );
-    listed_.push_back( facts );
-    on_listed_( facts );
-    targets_[facts.id].facts = std::move( facts );
+    properties.address.ip = service_;
+    properties.address.port = static_cast<std::uint16_t>( 1'000 + number );
+    listed_.push_back( properties );
+    on_listed_( properties );
+    targets_[properties.id].properties = std::move( properties );
 }
 
-auto fleet_targets::facts() const -> std::vector<exchange::target_facts>
+auto fleet_targets::properties() const
+    -> std::vector<exchange::target_properties>
 {
     return listed_;
 }
@@ -264,7 +265,7 @@
         std::any_of( targets_.begin(), targets_.end(),
                      [&address]( auto const& entry )
                      {
-                         return entry.second.facts.address == address;
+                         return entry.second.properties.address == address;
                      } );
     auto const told = answers_probes ? std::optional( listens ) : std::nullopt;
     after( 1ms,
@@ -571,9 +572,9 @@
     : engines(
           scheduler,
           "model",
-          [this]( auto const& facts )
+          [this]( auto const& properties )
           {
-              list( facts );
+              list( properties );
           },
           [this]( auto const& id )
           {
@@ -582,9 +583,9 @@
       plain(
           scheduler,
           "plain",
-          [this]( auto const& facts )
+          [this]( auto const& properties )
           {
-              list( facts );
+              list( properties );
           },
           [this]( auto const& id )
           {
@@ -608,11 +609,12 @@
         kill( i );
 }
 
-auto exchange_fleet::list( exchange::target_facts const& facts ) -> void
+auto exchange_fleet::list( exchange::target_properties const& properties )
+    -> void
 {
     for ( auto const& one : instances_ )
         if ( one )
-            one->loads.put( facts );
+            one->loads.put( properties );
 }
 
 auto exchange_fleet::unlist( core::target_id const& id ) -> void
@@ -629,8 +631,8 @@
                                               ++last_incarnation_ );
     silent_.erase( place->ip );
     for ( auto const* service : { &engines, &plain } )
-        for ( auto const& facts : service->facts() )
-            place->loads.put( facts );
+        for ( auto const& properties : service->properties() )
+            place->loads.put( properties );
     for ( auto const& [key, value] : store.records )
         place->records.take( key, value );
 }
@@ -725,7 +727,7 @@
     r.time_limit = 10s;
     r.received = scheduler.now();
     if ( is_stream( which->path ) )
-        r.prompt = exchange::prompt_facts{ 5'000, 1'600, 0 };
+        r.prompt = exchange::prompt_properties{ 5'000, 1'600, 0 };
     where->start( std::move( r ), std::make_shared<caller>( *this, which ) );
 }
 
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -43,7 +43,7 @@
     };
 
     /// Told of each target that appears in or vanishes from the registry.
-    using listed = std::function<void( exchange::target_facts const& )>;
+    using listed = std::function<void( exchange::target_properties const& )>;
     using unlisted = std::function<void( core::target_id const& )>;
 
     fleet_targets( held_scheduler& scheduler,
@@ -75,7 +75,8 @@
     /// Breaks all that is open at the target, which lives on.
     auto cut( core::target_id const& id ) -> void;
 
-    [[nodiscard]] auto facts() const -> std::vector<exchange::target_facts>;
+    [[nodiscard]] auto properties() const
+        -> std::vector<exchange::target_properties>;
     [[nodiscard]] auto has( core::target_id const& id ) const -> bool
     {
         return targets_.contains( id );
@@ -90,7 +91,7 @@
     class run;
     struct one_target
     {
-        exchange::target_facts facts;
+        exchange::target_properties properties;
         std::vector<std::weak_ptr<run>> open;
         bool leaving{ false };
         std::map<std::string, core::duration> pauses; ///< to ask for
@@ -104,7 +105,7 @@
     listed on_listed_;
     unlisted on_unlisted_;
     std::map<core::target_id, one_target> targets_;
-    std::vector<exchange::target_facts> listed_; ///< in the registry
+    std::vector<exchange::target_properties> listed_; ///< in the registry
     std::vector<std::unique_ptr<ports::scheduled_call>> calls_;
     int last_{ 0 };
 };
@@ -251,7 +252,7 @@
 private:
     class caller;
 
-    auto list( exchange::target_facts const& facts ) -> void;
+    auto list( exchange::target_properties const& properties ) -> void;
     auto unlist( core::target_id const& id ) -> void;
     auto begin_try( int number, std::shared_ptr<fleet_call> const& which )
         -> void;
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -268,10 +268,10 @@
         fixture.loads.remove( core::target_id( id ) );
     for ( auto i = 0; i < engine_count; ++i )
     {
-        auto facts = make_target( "e" + std::to_string( i ), "model" );
-        facts.address = { "10.0.1." + std::to_string( i ), 80 };
-        facts.slots = speed.slots;
-        fixture.loads.put( facts );
+        auto properties = make_target( "e" + std::to_string( i ), "model" );
+        properties.address = { "10.0.1." + std::to_string( i ), 80 };
+        properties.slots = speed.slots;
+        fixture.loads.put( properties );
     }
 }
 
@@ -299,7 +299,7 @@
                          core::duration time_limit ) -> void
 {
     auto request = fixture.request( "/" + route + "/x" );
-    request.prompt = exchange::prompt_facts{ which->tokens, 800, 0 };
+    request.prompt = exchange::prompt_properties{ which->tokens, 800, 0 };
     request.time_limit = time_limit;
     auto const started = std::make_shared<exchange::exchange>(
         context_, std::move( request ),
