--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -72,7 +72,8 @@
     from->heard_at = shared_.scheduler.now();
     from->watched_from = from->heard_at;
     if ( head.load )
-        shared_.loads.note_told( from->target, *head.load, from->heard_at );
+        shared_.loads.note_reported_load( from->target, *head.load,
+                                          from->heard_at );
     if ( !head.wrong_target )
         note_told_state( *from, head );
     if ( !head.proves_not_run && !head.wrong_target )
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -36,7 +36,8 @@
                                                 "unknown",
                                                 "answer of " + target.id.str(),
                                                 {} } );
-    if ( !head.says_leaving || !shared_.loads.note_said_leaving( target ) )
+    if ( !head.announces_leaving ||
+         !shared_.loads.note_announced_leaving( target ) )
         return;
     shared_.log.record( belief_changed{
         "target", target.id.str(), "leaving", "its own answer", {} } );
@@ -48,7 +49,7 @@
     -> void
 {
     auto const& target = from.target;
-    if ( head.has_bad_limit && shared_.loads.note_bad_limit( target ) )
+    if ( head.has_invalid_limit && shared_.loads.note_invalid_limit( target ) )
         shared_.log.record( belief_changed{ "target",
                                             target.id.str(),
                                             "limit_unreadable",
@@ -56,7 +57,7 @@
                                             {} } );
     auto const is_whole_statement =
         head.limit || ( head.has_seal && head.status < first_failure_status &&
-                        !head.has_bad_limit );
+                        !head.has_invalid_limit );
     if ( !is_whole_statement )
         return;
     auto const change = shared_.loads.note_limit(
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -406,9 +406,10 @@
     auto const at = find_lifetime( ref );
     if ( !at )
         return false;
-    auto const told = at->told ? at->told->running + at->told->waiting : 0;
+    auto const reported =
+        at->reported ? at->reported->running + at->reported->waiting : 0;
     auto const is_full =
-        std::max( at->load.requests, told ) >= at->properties.slots;
+        std::max( at->load.requests, reported ) >= at->properties.slots;
     if ( how == target_failure::turned_away && is_full )
         return false;
     auto& health = at->health;
@@ -433,10 +434,10 @@
     at->health.failure_share *= failure_decay;
 }
 
-auto load_table::note_said_leaving( target_ref const& ref ) -> bool
+auto load_table::note_announced_leaving( target_ref const& ref ) -> bool
 {
     auto const at = find_lifetime( ref );
-    return at && !std::exchange( at->said_leaving, true );
+    return at && !std::exchange( at->announced_leaving, true );
 }
 
 auto load_table::note_limit( target_ref const& ref,
@@ -494,10 +495,10 @@
     return refs;
 }
 
-auto load_table::note_bad_limit( target_ref const& ref ) -> bool
+auto load_table::note_invalid_limit( target_ref const& ref ) -> bool
 {
     auto const at = find_lifetime( ref );
-    return at && !std::exchange( at->said_bad_limit, true );
+    return at && !std::exchange( at->reported_invalid_limit, true );
 }
 
 auto load_table::shun( target_ref const& ref, core::instant until ) -> void
@@ -535,15 +536,15 @@
     return all;
 }
 
-auto load_table::note_told( target_ref const& ref,
-                            told_load load,
-                            core::instant now ) -> void
+auto load_table::note_reported_load( target_ref const& ref,
+                                     reported_load load,
+                                     core::instant now ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( !at )
         return;
-    at->told = load;
-    at->told_at = now;
+    at->reported = load;
+    at->reported_at = now;
 }
 
 }
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -146,14 +146,14 @@
     std::uint64_t rank{ 0 }; ///< same order on every instance
     target_load load;
     target_health health;
-    std::optional<told_load> told;
-    core::instant told_at;
+    std::optional<reported_load> reported;
+    core::instant reported_at;
     bool gone{ false }; ///< not in the registry; its entry may come back
     /// It said in an answer that it leaves. The registry hears of that later,
     /// or not at all while the store is away, and does not take it back.
-    bool said_leaving{ false };
+    bool announced_leaving{ false };
     request_limit limit;
-    bool said_bad_limit{ false }; ///< it named one that cannot be read
+    bool reported_invalid_limit{ false }; ///< it named one that cannot be read
 
     [[nodiscard]] auto ref() const -> target_ref
     {
@@ -161,7 +161,7 @@
     }
     [[nodiscard]] auto is_leaving() const -> bool
     {
-        return properties.leaving || said_leaving;
+        return properties.leaving || announced_leaving;
     }
     /// False once it leaves or has left.
     [[nodiscard]] auto takes_work() const -> bool
@@ -275,7 +275,7 @@
     auto note_success( target_ref const& ref ) -> void;
     /// The target has said in an answer that it leaves; true where that is
     /// news.
-    auto note_said_leaving( target_ref const& ref ) -> bool;
+    auto note_announced_leaving( target_ref const& ref ) -> bool;
     /// An answer of the target says how many requests a second it takes, or
     /// names no limit.
     auto note_limit( target_ref const& ref,
@@ -283,7 +283,7 @@
                      core::instant now ) -> limit_change;
     /// The target has named a limit that cannot be read; true where that is
     /// news.
-    auto note_bad_limit( target_ref const& ref ) -> bool;
+    auto note_invalid_limit( target_ref const& ref ) -> bool;
     auto set_limit_shares( limit_shares const& shares ) -> void
     {
         shares_ = shares;
@@ -323,8 +323,9 @@
     [[nodiscard]] auto paused( core::service_id const& service,
                                core::instant now ) const
         -> std::vector<paused_target>;
-    auto note_told( target_ref const& ref, told_load load, core::instant now )
-        -> void;
+    auto note_reported_load( target_ref const& ref,
+                             reported_load load,
+                             core::instant now ) -> void;
 
 private:
     /// Work with the targets on which it is counted; null where a target was
--- a/src/pollenstream/exchange/message.hpp
+++ b/src/pollenstream/exchange/message.hpp
@@ -77,7 +77,7 @@
 };
 
 /// The load that a target tells with its answers.
-struct told_load
+struct reported_load
 {
     std::int64_t running{ 0 };
     std::int64_t waiting{ 0 };
@@ -90,17 +90,17 @@
     int status{ 0 };
     header_list headers; ///< end-to-end headers, passed back unchanged
     bool proves_not_run{ false };
-    bool wrong_target{ false }; ///< another instance has the address
-    bool has_seal{ false };     ///< carries the target's digest
-    std::string at_fault;       ///< the target that made the work fail
-    bool says_leaving{ false }; ///< the target takes no new work
+    bool wrong_target{ false };      ///< another instance has the address
+    bool has_seal{ false };          ///< carries the target's digest
+    std::string at_fault;            ///< the target that made the work fail
+    bool announces_leaving{ false }; ///< the target takes no new work
     /// For how long the target wants nothing from this instance.
     core::duration wants_pause{ 0 };
-    std::optional<told_load> load;
+    std::optional<reported_load> load;
     /// Requests a second that the target takes from all instances together.
     std::optional<double> limit;
     /// It names a limit that is no number from zero up, or several that differ.
-    bool has_bad_limit{ false };
+    bool has_invalid_limit{ false };
     std::vector<std::string> unknown_headers; ///< names, in lower case
 };
 
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -369,7 +369,7 @@
 auto placement::choose_plain( candidates const& targets,
                               core::instant now ) const -> placement_result
 {
-    constexpr auto told_is_fresh = core::duration( 100'000 );
+    constexpr auto reported_load_is_fresh = core::duration( 100'000 );
     auto best = std::shared_ptr<target_entry>{};
     auto best_load = std::numeric_limits<double>::infinity();
     for ( auto const& t : targets )
@@ -377,9 +377,10 @@
         auto const slots = static_cast<double>(
             std::max<std::int64_t>( 1, t->properties.slots ) );
         auto busy = static_cast<double>( t->load.requests );
-        if ( t->told && now - t->told_at < told_is_fresh )
-            busy = std::max( busy, static_cast<double>( t->told->running +
-                                                        t->told->waiting ) );
+        if ( t->reported && now - t->reported_at < reported_load_is_fresh )
+            busy =
+                std::max( busy, static_cast<double>( t->reported->running +
+                                                     t->reported->waiting ) );
         auto load = busy / slots;
         if ( t->properties.data_centre != own_data_centre_ )
             load += far_place_load;
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -21,7 +21,7 @@
 {
 
 /// A target whose answer to this instance said that it leaves.
-struct told_leaving
+struct announced_leaving
 {
     exchange::target_ref target;
     core::instant at;
@@ -205,9 +205,9 @@
     peer_message pending_;
     /// Seen here lately; repeated, since each may be lost.
     std::vector<exchange::crashed_run> own_crashes_;
-    std::vector<told_leaving> own_leaving_; ///< the same
-    std::size_t next_limit_{ 0 };           ///< to tell, of all that are known
-    std::vector<core::instance_id> told_;   ///< coordinators with all open work
+    std::vector<announced_leaving> own_leaving_; ///< the same
+    std::size_t next_limit_{ 0 };         ///< to tell, of all that are known
+    std::vector<core::instance_id> told_; ///< coordinators with all open work
     std::size_t next_ip_{ 0 };
     std::size_t next_in_turn_{ 0 };
     mutable std::uint64_t asked_{ 0 };
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -197,7 +197,7 @@
 auto peer_group::take_leaving( peer_message const& message ) -> void
 {
     for ( auto const& ref : message.leaving_targets )
-        if ( load_table_.note_said_leaving( ref ) )
+        if ( load_table_.note_announced_leaving( ref ) )
             log_.record( exchange::belief_changed{ "target",
                                                    ref.id.str(),
                                                    "leaving",
--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/told_state_test.cpp
@@ -28,7 +28,7 @@
     auto head = exchange::answer_head{};
     head.status = status;
     head.has_seal = true;
-    head.says_leaving = true;
+    head.announces_leaving = true;
     head.proves_not_run = status == 503;
     request.listener->on_head( std::move( head ) );
     request.complete();
@@ -105,7 +105,7 @@
     auto head = exchange::answer_head{};
     head.status = 200;
     head.has_seal = true;
-    head.says_leaving = true;
+    head.announces_leaving = true;
     f.targets.all[0]->listener->on_head( std::move( head ) );
     f.targets.all[0]->event( 1 );
     for ( auto i = 0; i < 8; ++i )
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -193,20 +193,20 @@
         return platform::decode_answer( { 200, std::move( fields ) } );
     };
     CHECK_FALSE( head_of( {} ).limit );
-    CHECK_FALSE( head_of( {} ).has_bad_limit );
+    CHECK_FALSE( head_of( {} ).has_invalid_limit );
     CHECK( head_of( { " 1.3 " } ).limit == 1.3 );
     CHECK( head_of( { "0" } ).limit == 0.0 );
     CHECK( head_of( { "1e300" } ).limit == 1e300 );
     CHECK( head_of( { "2", "2" } ).limit == 2.0 );
-    CHECK_FALSE( head_of( { "2", "2" } ).has_bad_limit );
+    CHECK_FALSE( head_of( { "2", "2" } ).has_invalid_limit );
     CHECK( head_of( { "2", "1", "3" } ).limit == 1.0 );
-    CHECK( head_of( { "2", "1" } ).has_bad_limit );
+    CHECK( head_of( { "2", "1" } ).has_invalid_limit );
     CHECK( head_of( { "soon", "1" } ).limit == 1.0 );
     for ( auto const* text :
           { "", "-1", "soon", "nan", "inf", "1e999", "1 a second", "1,5" } )
     {
         CHECK_FALSE( head_of( { text } ).limit );
-        CHECK( head_of( { text } ).has_bad_limit );
+        CHECK( head_of( { text } ).has_invalid_limit );
     }
 }
 
@@ -239,9 +239,9 @@
         CHECK( h.name != "Connection" );
     auto const leaves =
         platform::decode_answer( { 200, { { "server-leaving", "1" } } } );
-    CHECK( leaves.says_leaving );
+    CHECK( leaves.announces_leaving );
     CHECK( leaves.headers.size() == 1 );
-    CHECK_FALSE( head.says_leaving );
+    CHECK_FALSE( head.announces_leaving );
     auto const pause_of = []( int status, std::string const& text )
     {
         return platform::decode_answer(
--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -167,7 +167,7 @@
     f.loads.note_failure( former, now );
     f.loads.note_failure( former, now );
     f.loads.shun( former, now + 5s );
-    f.loads.note_told( former, { 9, 9, 16 }, now );
+    f.loads.note_reported_load( former, { 9, 9, 16 }, now );
     auto work = work_at( "i-1", 7 );
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
     f.loads.add_work( core::instance_id( "other" ), work, now );
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -143,7 +143,7 @@
         auto h = exchange::answer_head{};
         h.status = 200;
         h.has_seal = true;
-        h.says_leaving = owner_.targets_.at( target_ ).leaving;
+        h.announces_leaving = owner_.targets_.at( target_ ).leaving;
         h.limit = owner_.targets_.at( target_ ).limit;
         listener_->on_head( std::move( h ) );
     }
