--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -45,7 +45,7 @@
         -> void = 0;
     virtual auto target_failed( target_ref const& ref, target_failure how )
         -> void = 0;
-    virtual auto target_shunned( target_ref const& ref, core::duration time )
+    virtual auto target_ejected( target_ref const& ref, core::duration time )
         -> void = 0;
     /// The target has said in an answer that it leaves.
     virtual auto target_leaves( target_ref const& ref ) -> void = 0;
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -91,8 +91,8 @@
     if ( head.wrong_target || to_blame != from.target )
     {
         // Gone, or of no use to others: certain at once, and for all.
-        shared_.loads.shun( to_blame, now + blamed_time );
-        shared_.announcer.target_shunned( to_blame, blamed_time );
+        shared_.loads.eject( to_blame, now + blamed_time );
+        shared_.announcer.target_ejected( to_blame, blamed_time );
     }
     else
     {
@@ -101,7 +101,7 @@
                                              target_failure::turned_away );
         else if ( shared_.loads.note_failure( to_blame, now,
                                               target_failure::turned_away ) )
-            shared_.announcer.target_shunned( to_blame, blamed_time );
+            shared_.announcer.target_ejected( to_blame, blamed_time );
     }
     return to_blame;
 }
@@ -123,7 +123,7 @@
         return note_crash( which.target, end.error );
     // Nobody listens there: stronger evidence than a broken answer.
     if ( shared_.loads.note_failure( which.target, shared_.scheduler.now() ) )
-        shared_.announcer.target_shunned( which.target, unreachable_time );
+        shared_.announcer.target_ejected( which.target, unreachable_time );
     --targets_reached_;
     ++connects_failed_;
 }
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -16,11 +16,11 @@
 /// First time for which a failing target gets nothing; it doubles with each
 /// further failure. Crashed targets of the users' days are away for seconds;
 /// a single lost connection should cost little.
-constexpr auto first_shun = core::duration( 500ms );
-constexpr auto longest_shun = core::duration( 8s );
+constexpr auto first_ejection = core::duration( 500ms );
+constexpr auto max_ejection = core::duration( 8s );
 /// Failures in a row after which a target is shunned. One failure of a target
 /// that else answers may be the connection's.
-constexpr auto failures_to_shun = std::int64_t{ 2 };
+constexpr auto failures_to_eject = std::int64_t{ 2 };
 /// Share of failed requests, decaying by `failure_decay` a request, from which
 /// a target is shunned whatever its latest answer was.
 constexpr auto failing_share = 0.45;
@@ -37,12 +37,12 @@
     return core::duration_of( ms / 1'000 );
 }
 
-auto shun_time( std::int64_t failures ) -> core::duration
+auto ejection_time( std::int64_t failures ) -> core::duration
 {
     constexpr auto most_doublings = std::int64_t{ 4 };
-    auto const doublings = std::clamp( failures - failures_to_shun,
+    auto const doublings = std::clamp( failures - failures_to_eject,
                                        std::int64_t{ 0 }, most_doublings );
-    return std::min( longest_shun, first_shun * ( 1 << doublings ) );
+    return std::min( max_ejection, first_ejection * ( 1 << doublings ) );
 }
 
 }
@@ -416,13 +416,13 @@
     ++health.failures_in_a_row;
     health.failure_share =
         health.failure_share * failure_decay + ( 1 - failure_decay );
-    auto const is_failing = health.failures_in_a_row >= failures_to_shun ||
+    auto const is_failing = health.failures_in_a_row >= failures_to_eject ||
                             health.failure_share >= failing_share;
     if ( !is_failing )
         return false;
-    auto const was_shunned = health.shunned_until > now;
-    shun( ref, now + shun_time( health.failures_in_a_row ) );
-    return !was_shunned;
+    auto const was_ejected = health.ejected_until > now;
+    eject( ref, now + ejection_time( health.failures_in_a_row ) );
+    return !was_ejected;
 }
 
 auto load_table::note_success( target_ref const& ref ) -> void
@@ -501,11 +501,11 @@
     return at && !std::exchange( at->reported_invalid_limit, true );
 }
 
-auto load_table::shun( target_ref const& ref, core::instant until ) -> void
+auto load_table::eject( target_ref const& ref, core::instant until ) -> void
 {
     auto const at = find_lifetime( ref );
     if ( at )
-        at->health.shunned_until = std::max( at->health.shunned_until, until );
+        at->health.ejected_until = std::max( at->health.ejected_until, until );
 }
 
 auto load_table::pause( target_ref const& ref, core::instant until ) -> void
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -136,7 +136,7 @@
 {
     std::int64_t failures_in_a_row{ 0 };
     double failure_share{ 0 }; ///< decaying, 0 to 1
-    core::instant shunned_until;
+    core::instant ejected_until;
 };
 
 /// One target on the board.
@@ -170,7 +170,7 @@
     }
     [[nodiscard]] auto may_get_work( core::instant now ) const -> bool
     {
-        return takes_work() && health.shunned_until <= now;
+        return takes_work() && health.ejected_until <= now;
     }
     [[nodiscard]] auto backlog_ms( core::instant now ) const -> double;
 };
@@ -313,7 +313,7 @@
         -> std::vector<core::instant>;
     /// Targets of which a limit, or its end, has been heard.
     [[nodiscard]] auto limited() const -> std::vector<target_ref>;
-    auto shun( target_ref const& ref, core::instant until ) -> void;
+    auto eject( target_ref const& ref, core::instant until ) -> void;
     /// The target wants nothing from this instance until then. Others may send
     /// there, so that it is no part of what the target is for all.
     auto pause( target_ref const& ref, core::instant until ) -> void;
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -198,7 +198,7 @@
         if ( !load_table_.may_send( *t, demand.limits, now ) )
             found.more = true;
         else if ( !t->may_get_work( now ) )
-            found.shunned.push_back( t );
+            found.ejected.push_back( t );
         else if ( t->limit.per_second() &&
                   ( demand.only_to_hear || !has_ample_limit( *t, now ) ) )
             found.limited.push_back( t );
@@ -291,8 +291,8 @@
     }
     if ( result.choice || result.reason != no_choice::no_targets )
         return result;
-    if ( !options.shunned.empty() )
-        return choose_from( options.shunned, demand, service, now );
+    if ( !options.ejected.empty() )
+        return choose_from( options.ejected, demand, service, now );
     if ( options.more )
         return nothing( no_choice::limited );
     return nothing( pauses_only( demand ) ? no_choice::paused
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -98,7 +98,7 @@
 
     list free;          ///< that name no limit
     list limited;       ///< that do, and have room for one request now
-    list shunned;       ///< with room too, and believed to fail
+    list ejected;       ///< with room too, and believed to fail
     bool more{ false }; ///< others have room later, by their limits
 
     [[nodiscard]] auto has_limited() const -> bool
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -244,7 +244,7 @@
     if ( std::exchange( tell_all_, false ) )
     {
         auto news = base_message();
-        news.shunned = std::exchange( pending_.shunned, {} );
+        news.ejected = std::exchange( pending_.ejected, {} );
         news.leaving_targets = std::exchange( pending_.leaving_targets, {} );
         news.limits = std::exchange( pending_.limits, {} );
         send_to_all( news );
@@ -534,9 +534,9 @@
         freed = take_open( message ) || freed;
     for ( auto const& f : message.failed )
         load_table_.note_failure( f.target, now, f.how );
-    for ( auto const& s : message.shunned )
-        load_table_.shun( s.target,
-                          now + std::chrono::milliseconds( s.time_ms ) );
+    for ( auto const& s : message.ejected )
+        load_table_.eject( s.target,
+                           now + std::chrono::milliseconds( s.time_ms ) );
     if ( freed && on_load_changed )
         on_load_changed();
 }
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -112,7 +112,7 @@
         -> void override;
     auto target_failed( exchange::target_ref const& ref,
                         exchange::target_failure how ) -> void override;
-    auto target_shunned( exchange::target_ref const& ref, core::duration time )
+    auto target_ejected( exchange::target_ref const& ref, core::duration time )
         -> void override;
     auto target_leaves( exchange::target_ref const& ref ) -> void override;
     auto target_limited( exchange::target_ref const& ref,
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -36,10 +36,10 @@
     arm_flush();
 }
 
-auto peer_group::target_shunned( exchange::target_ref const& ref,
+auto peer_group::target_ejected( exchange::target_ref const& ref,
                                  core::duration time ) -> void
 {
-    pending_.shunned.push_back( { ref, core::milliseconds_of( time ) } );
+    pending_.ejected.push_back( { ref, core::milliseconds_of( time ) } );
     tell_all_ = true;
     arm_flush();
 }
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -163,12 +163,12 @@
     return a;
 }
 
-auto shunned_to_json( shunned_target const& s ) -> json
+auto ejected_to_json( ejected_target const& s ) -> json
 {
     return json::array( { ref_to_json( s.target ), s.time_ms } );
 }
 
-auto shunned_from_json( json const& object ) -> shunned_target
+auto ejected_from_json( json const& object ) -> ejected_target
 {
     return { ref_from_json( object.at( 0 ) ),
              object.at( 1 ).get<std::int64_t>() };
@@ -269,7 +269,7 @@
     list_asks,
     list_answers,
     list_failed,
-    list_shunned,
+    list_ejected,
     list_silent,
     list_known_ips,
     list_crashes,
@@ -295,7 +295,7 @@
     add( list_asks, list_to_json( m.asks, ask_to_json ) );
     add( list_answers, list_to_json( m.answers, answer_to_json ) );
     add( list_failed, list_to_json( m.failed, failed_to_json ) );
-    add( list_shunned, list_to_json( m.shunned, shunned_to_json ) );
+    add( list_ejected, list_to_json( m.ejected, ejected_to_json ) );
     add( list_silent, list_to_json( m.silent, silent_to_json ) );
     add( list_known_ips, m.known_ips );
     add( list_crashes, list_to_json( m.crashes, crash_to_json ) );
@@ -331,8 +331,8 @@
         return list_from_json( list, m.answers, answer_from_json );
     case list_failed:
         return list_from_json( list, m.failed, failed_from_json );
-    case list_shunned:
-        return list_from_json( list, m.shunned, shunned_from_json );
+    case list_ejected:
+        return list_from_json( list, m.ejected, ejected_from_json );
     case list_silent:
         return list_from_json( list, m.silent, silent_from_json );
     case list_known_ips:
--- a/src/pollenstream/peers/peer_message.hpp
+++ b/src/pollenstream/peers/peer_message.hpp
@@ -18,7 +18,7 @@
 {
 
 /// A target that the sender keeps away from for some time.
-struct shunned_target
+struct ejected_target
 {
     exchange::target_ref target;
     std::int64_t time_ms{ 0 };
@@ -115,7 +115,7 @@
     /// Contents that were under suspicion and have been served.
     std::vector<exchange::content_id> cleared;
     std::vector<silent_instance> silent;
-    std::vector<shunned_target> shunned;
+    std::vector<ejected_target> ejected;
     std::vector<std::string> known_ips; ///< some other instances
     /// Time since the store answered the sender.
     std::int64_t store_age_ms{ 0 };
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -398,8 +398,8 @@
     }
     CHECK_FALSE( f.loads.find( helper )->may_get_work( f.scheduler.now() ) );
     CHECK( f.loads.find( first )->may_get_work( f.scheduler.now() ) );
-    REQUIRE( f.announcer.shunned.size() == 1 );
-    CHECK( f.announcer.shunned[0] == helper );
+    REQUIRE( f.announcer.ejected.size() == 1 );
+    CHECK( f.announcer.ejected[0] == helper );
     REQUIRE( f.targets.all.size() == 2 );
     CHECK( f.targets.all[1]->request.target != helper );
     f.targets.all[1]->answer( 500, "" );
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -202,12 +202,12 @@
     CHECK_FALSE( loads.note_failure( id, now ) );
     CHECK( m1->may_get_work( now ) );
     CHECK( loads.note_failure( id, now ) );
-    auto const first = m1->health.shunned_until - now;
+    auto const first = m1->health.ejected_until - now;
     CHECK( first > core::duration( 0 ) );
-    now = m1->health.shunned_until;
+    now = m1->health.ejected_until;
     CHECK( m1->may_get_work( now ) );
     loads.note_failure( id, now );
-    CHECK( m1->health.shunned_until - now > first );
+    CHECK( m1->health.ejected_until - now > first );
     loads.note_success( id );
     CHECK( m1->health.failures_in_a_row == 0 );
 }
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -240,7 +240,7 @@
 TEST_CASE( "leaving and shunned targets are passed over", "[placement]" )
 {
     auto f = exchange_fixture{};
-    f.loads.shun( core::target_id( "p1" ), f.scheduler.now() + 1s );
+    f.loads.eject( core::target_id( "p1" ), f.scheduler.now() + 1s );
     auto demand = exchange::placement_demand{};
     demand.service = core::service_id( "plain" );
     auto const settings = exchange::service_settings{};
--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -135,7 +135,7 @@
     auto work = work_at( "i-1", 1 );
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
     f.loads.add_work( self, work, now );
-    f.loads.shun( f.loads.find( id )->ref(), now + 5s );
+    f.loads.eject( f.loads.find( id )->ref(), now + 5s );
     REQUIRE( f.loads.find( id )->load.requests == 1 );
 
     f.write( "i-1", entry_born( 2'000 ) );
@@ -166,7 +166,7 @@
     // Late answers, and what other instances tell.
     f.loads.note_failure( former, now );
     f.loads.note_failure( former, now );
-    f.loads.shun( former, now + 5s );
+    f.loads.eject( former, now + 5s );
     f.loads.note_reported_load( former, { 9, 9, 16 }, now );
     auto work = work_at( "i-1", 7 );
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -236,10 +236,10 @@
     {
         failed.push_back( ref.id );
     }
-    auto target_shunned( exchange::target_ref const& ref, core::duration )
+    auto target_ejected( exchange::target_ref const& ref, core::duration )
         -> void override
     {
-        shunned.push_back( ref.id );
+        ejected.push_back( ref.id );
     }
 
     auto target_leaves( exchange::target_ref const& ref ) -> void override
@@ -267,7 +267,7 @@
     std::vector<exchange::content_id> cleared;
     std::vector<core::target_id> failed;
     std::vector<core::target_id> leaving;
-    std::vector<core::target_id> shunned;
+    std::vector<core::target_id> ejected;
 };
 
 /// An instance that is the only one.
