--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -41,7 +41,7 @@
               { "gone", t->gone },
               { "may_get_work", t->may_get_work( now ) },
               { "requests", t->load.requests },
-              { "writers", t->load.writers },
+              { "writers", t->load.decoding },
               { "memory_tokens", t->load.memory_tokens },
               { "backlog_ms", t->backlog_ms( now ) },
               { "failure_share", t->health.failure_share },
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -40,7 +40,7 @@
 public:
     virtual ~work_announcer() = default;
     virtual auto work_began( open_work const& work ) -> void = 0;
-    virtual auto reading_ended( std::uint64_t serial ) -> void = 0;
+    virtual auto prefill_ended( std::uint64_t serial ) -> void = 0;
     virtual auto work_ended( std::uint64_t serial, work_outcome outcome )
         -> void = 0;
     virtual auto target_failed( target_ref const& ref, target_failure how )
--- a/src/pollenstream/exchange/engine_model.cpp
+++ b/src/pollenstream/exchange/engine_model.cpp
@@ -14,21 +14,22 @@
 
 }
 
-auto read_ms( engine_speed const& speed, std::int64_t prompt_tokens ) -> double
+auto prefill_ms( engine_speed const& speed, std::int64_t prompt_tokens )
+    -> double
 {
     auto const tokens = static_cast<double>( prompt_tokens );
     auto const pairs = tokens * tokens / 2;
-    return tokens / speed.read_tokens_per_ms +
-           pairs / pairs_per_m * speed.read_ms_per_m_pairs;
+    return tokens / speed.prefill_tokens_per_ms +
+           pairs / pairs_per_m * speed.prefill_ms_per_m_pairs;
 }
 
 auto write_pass_ms( engine_speed const& speed,
-                    std::int64_t writers,
+                    std::int64_t decoding,
                     std::int64_t context_tokens ) -> double
 {
     auto const step =
         speed.step_ms +
-        speed.step_ms_per_request * static_cast<double>( writers ) +
+        speed.step_ms_per_request * static_cast<double>( decoding ) +
         speed.step_ms_per_k_context * static_cast<double>( context_tokens ) /
             tokens_per_k;
     return step * static_cast<double>( speed.steps_per_pass );
--- a/src/pollenstream/exchange/engine_model.hpp
+++ b/src/pollenstream/exchange/engine_model.hpp
@@ -11,12 +11,13 @@
 /// Milliseconds for which one engine is busy when it alone reads a prompt.
 /// Time per token is constant and each token is compared with all before it,
 /// so that long prompts cost by the square.
-auto read_ms( engine_speed const& speed, std::int64_t prompt_tokens ) -> double;
+auto prefill_ms( engine_speed const& speed, std::int64_t prompt_tokens )
+    -> double;
 
-/// Milliseconds of one pass in which `writers` requests write and nothing is
+/// Milliseconds of one pass in which `decoding` requests write and nothing is
 /// read; `context_tokens` is the sum of their contexts.
 auto write_pass_ms( engine_speed const& speed,
-                    std::int64_t writers,
+                    std::int64_t decoding,
                     std::int64_t context_tokens ) -> double;
 
 /// Tokens of KV memory that a request takes up at its end.
--- a/src/pollenstream/exchange/engine_room.cpp
+++ b/src/pollenstream/exchange/engine_room.cpp
@@ -31,14 +31,14 @@
 
 auto pass_ms( engine_speed const& speed, target_entry const& t ) -> double
 {
-    return write_pass_ms( speed, t.load.writers, t.load.context_tokens );
+    return write_pass_ms( speed, t.load.decoding, t.load.context_tokens );
 }
 
 auto part_time_ms( engine_speed const& speed,
                    target_entry const& t,
-                   double read_ms ) -> double
+                   double prefill_ms ) -> double
 {
-    return read_ms + ( t.load.writers > 0 ? pass_ms( speed, t ) : 0.0 );
+    return prefill_ms + ( t.load.decoding > 0 ? pass_ms( speed, t ) : 0.0 );
 }
 
 auto harmed_by( target_entry const& t, double pause_ms ) -> double
--- a/src/pollenstream/exchange/engine_room.hpp
+++ b/src/pollenstream/exchange/engine_room.hpp
@@ -18,11 +18,11 @@
 auto has_slot( engine_speed const& speed, target_entry const& t ) -> bool;
 /// Milliseconds of a pass of writing at `t` with what it writes now.
 auto pass_ms( engine_speed const& speed, target_entry const& t ) -> double;
-/// Time that `t` takes for a part of `read_ms`: where answers are written, a
+/// Time that `t` takes for a part of `prefill_ms`: where answers are written, a
 /// pass of writing comes with it.
 auto part_time_ms( engine_speed const& speed,
                    target_entry const& t,
-                   double read_ms ) -> double;
+                   double prefill_ms ) -> double;
 
 /// Weight of the requests at `t` that tolerate no pause of `pause_ms`.
 auto harmed_by( target_entry const& t, double pause_ms ) -> double;
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -362,11 +362,11 @@
     auto const keep = shared_from_this();
     if ( finished_ || route_ == nullptr || content != content_ )
         return;
-    auto const runs = current_ && !current_->reading;
+    auto const runs = current_ && !current_->prefilling;
     if ( runs )
         return;
     // The silent run is past its beginning; what is sought beside it is not.
-    if ( silent_ && !silent_->reading )
+    if ( silent_ && !silent_->prefilling )
     {
         go_back( quarantined_reason );
         return;
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -74,7 +74,7 @@
         std::optional<answer_head> head;
         std::string body; ///< of an answer that is passed on as a whole
         event_splitter splitter;
-        bool reading{ true };
+        bool prefilling{ true };
         double predicted_ms{ 0 };
         core::instant sent_at;
         core::instant heard_at;
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -164,11 +164,11 @@
     current_->heard_at = now;
     current_->watched_from = now;
     current_->is_blamed = false;
-    if ( current_->reading )
+    if ( current_->prefilling )
     {
-        current_->reading = false;
-        shared_.loads.end_reading( shared_.self, current_->serial, now );
-        shared_.announcer.reading_ended( current_->serial );
+        current_->prefilling = false;
+        shared_.loads.end_prefill( shared_.self, current_->serial, now );
+        shared_.announcer.prefill_ended( current_->serial );
         shared_.room.poke();
     }
     if ( events_ == 0 )
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -84,7 +84,7 @@
     work.parts = grant.choice.parts;
     work.context_tokens = demand_.prompt_tokens;
     work.tolerated_gap_ms = core::milliseconds_of( demand_.gap_objective );
-    work.reading = route_->kind == request_kind::stream;
+    work.prefilling = route_->kind == request_kind::stream;
     work.is_suspect = is_suspect_;
     work.reserves = grant.choice.needs_reservation;
     shared_.loads.add_work( shared_.self, work, shared_.scheduler.now() );
--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -90,7 +90,7 @@
 auto exchange::tolerated_silence() const -> core::duration
 {
     auto const at = shared_.loads.find_lifetime( current_->target );
-    auto const reads_until = at ? at->load.read_until : core::instant{};
+    auto const reads_until = at ? at->load.prefill_until : core::instant{};
     auto const reading = std::clamp( reads_until - current_->watched_from,
                                      core::duration( 0 ), longest_reading );
     return idle_silence() + reading;
@@ -101,7 +101,7 @@
     if ( route_->kind == request_kind::safe )
         return std::max( shortest_call_silence,
                          route_->latency_objective * call_silence_per_latency );
-    if ( !current_->reading )
+    if ( !current_->prefilling )
         return std::max( shortest_silence,
                          route_->gap_objective * silence_per_gap );
     return std::max( first_event_slack, route_->latency_objective ) +
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -49,7 +49,8 @@
 
 auto target_entry::backlog_ms( core::instant now ) const -> double
 {
-    return std::max( 0.0, core::seconds_of( load.read_until - now ) * 1'000 );
+    return std::max( 0.0,
+                     core::seconds_of( load.prefill_until - now ) * 1'000 );
 }
 
 auto load_table::put( target_properties properties ) -> target_change
@@ -176,15 +177,15 @@
     return found->second.per_second * std::exp( -age / rate_seconds );
 }
 
-auto load_table::reading_share( core::service_id const& id,
-                                core::instant now ) const -> double
+auto load_table::prefill_utilization( core::service_id const& id,
+                                      core::instant now ) const -> double
 {
     auto const found = arrivals_.find( id );
     auto const targets = static_cast<double>( of_service( id ).size() );
     if ( found == arrivals_.end() || targets == 0 )
         return 0;
     auto const age = core::seconds_of( now - found->second.at );
-    return found->second.reading_ms * std::exp( -age / reading_seconds ) /
+    return found->second.prefill_ms * std::exp( -age / reading_seconds ) /
            ( reading_seconds * 1'000 * targets );
 }
 
@@ -196,40 +197,40 @@
     auto const age = core::seconds_of( now - rate.at );
     rate.per_second =
         rate.per_second * std::exp( -age / rate_seconds ) + 1 / rate_seconds;
-    rate.reading_ms *= std::exp( -age / reading_seconds );
+    rate.prefill_ms *= std::exp( -age / reading_seconds );
     for ( auto const& part : work.parts )
-        rate.reading_ms += part.read_ms;
+        rate.prefill_ms += part.prefill_ms;
     rate.at = now;
 }
 
-auto load_table::count_reading( known_work& known, core::instant now ) -> void
+auto load_table::count_prefill( known_work& known, core::instant now ) -> void
 {
-    known.reading_counted = true;
+    known.prefill_counted = true;
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
     {
         if ( !known.at[i] )
             continue;
         auto& load = known.at[i]->load;
-        ++load.parts_reading;
-        load.own_parts_reading += i == 0 ? 1 : 0;
-        load.read_until = std::max( load.read_until, now ) +
-                          ms_of( known.work.parts[i].read_ms );
+        ++load.parts_prefilling;
+        load.own_parts_prefilling += i == 0 ? 1 : 0;
+        load.prefill_until = std::max( load.prefill_until, now ) +
+                             ms_of( known.work.parts[i].prefill_ms );
     }
 }
 
-auto load_table::uncount_reading( known_work& known, core::instant now ) -> void
+auto load_table::uncount_prefill( known_work& known, core::instant now ) -> void
 {
-    if ( !std::exchange( known.reading_counted, false ) )
+    if ( !std::exchange( known.prefill_counted, false ) )
         return;
     for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
     {
         if ( !known.at[i] )
             continue;
         auto& load = known.at[i]->load;
-        --load.parts_reading;
-        load.own_parts_reading -= i == 0 ? 1 : 0;
-        if ( load.parts_reading <= 0 )
-            load.read_until = std::min( load.read_until, now );
+        --load.parts_prefilling;
+        load.own_parts_prefilling -= i == 0 ? 1 : 0;
+        if ( load.parts_prefilling <= 0 )
+            load.prefill_until = std::min( load.prefill_until, now );
     }
 }
 
@@ -250,13 +251,13 @@
                 sign * known.work.parts[i].memory_tokens;
 }
 
-auto load_table::count_writer( known_work const& known, std::int64_t sign )
+auto load_table::count_decoding( known_work const& known, std::int64_t sign )
     -> void
 {
     if ( known.at.empty() || !known.at.front() )
         return;
     auto& load = known.at.front()->load;
-    load.writers += sign;
+    load.decoding += sign;
     load.context_tokens += sign * known.work.context_tokens;
 }
 
@@ -287,18 +288,18 @@
     }
     if ( !is_new )
     {
-        if ( !work.reading )
-            end_reading( owner, work.serial, now );
+        if ( !work.prefilling )
+            end_prefill( owner, work.serial, now );
         return;
     }
     auto& known = at->second;
     for ( auto const& part : known.work.parts )
         known.at.push_back( find_lifetime( { part.target, part.lifetime } ) );
     count_sent( known );
-    if ( known.work.reading )
-        count_reading( known, now );
+    if ( known.work.prefilling )
+        count_prefill( known, now );
     else
-        count_writer( known, 1 );
+        count_decoding( known, 1 );
     count_memory( known, 1 );
     if ( known.at.empty() || !known.at.front() )
         return;
@@ -311,25 +312,25 @@
     group.weight += weight_of( known.work.context_tokens );
 }
 
-auto load_table::end_reading( core::instance_id const& owner,
+auto load_table::end_prefill( core::instance_id const& owner,
                               std::uint64_t serial,
                               core::instant now ) -> void
 {
     auto& works = works_[owner];
     auto const found = works.find( serial );
-    if ( found == works.end() || !found->second.work.reading )
+    if ( found == works.end() || !found->second.work.prefilling )
         return;
     auto& known = found->second;
-    uncount_reading( known, now );
-    known.work.reading = false;
-    count_writer( known, 1 );
+    uncount_prefill( known, now );
+    known.work.prefilling = false;
+    count_decoding( known, 1 );
 }
 
 auto load_table::uncount( known_work& known, core::instant now ) -> void
 {
-    uncount_reading( known, now );
-    if ( !known.work.reading )
-        count_writer( known, -1 );
+    uncount_prefill( known, now );
+    if ( !known.work.prefilling )
+        count_decoding( known, -1 );
     count_memory( known, -1 );
     if ( known.at.empty() || !known.at.front() )
         return;
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -58,7 +58,7 @@
 struct work_part
 {
     core::target_id target;
-    double read_ms{ 0 }; ///< reading that this part costs the target
+    double prefill_ms{ 0 }; ///< reading that this part costs the target
     std::int64_t memory_tokens{ 0 };  ///< taken up there until the work ends
     core::target_lifetime lifetime{}; ///< of the target, when it was chosen
 };
@@ -71,7 +71,7 @@
     std::vector<work_part> parts;
     std::int64_t context_tokens{ 0 };
     std::int64_t tolerated_gap_ms{ 0 }; ///< longest pause that is on time
-    bool reading{ true };               ///< the first event has not come yet
+    bool prefilling{ true };            ///< the first event has not come yet
     /// A run of the same content has broken off at another target that may
     /// have ended by it.
     bool is_suspect{ false };
@@ -112,16 +112,16 @@
 {
     std::int64_t requests{ 0 }; ///< of which the first part is here
     std::int64_t suspects{ 0 }; ///< of these, that may end their targets
-    std::int64_t writers{ 0 };
+    std::int64_t decoding{ 0 };
     std::int64_t context_tokens{ 0 }; ///< of the writers
     std::int64_t memory_tokens{ 0 };
-    std::int64_t parts_reading{ 0 };
+    std::int64_t parts_prefilling{ 0 };
     /// Of which parts of requests that are answered here. An engine reads
     /// these after all parts that it reads for others.
-    std::int64_t own_parts_reading{ 0 };
+    std::int64_t own_parts_prefilling{ 0 };
     /// Requests answered here by the pause that they tolerate, in ms.
     std::map<std::int64_t, tolerant_group> by_gap;
-    core::instant read_until; ///< when all reading is expected to be done
+    core::instant prefill_until; ///< when all reading is expected to be done
 };
 
 /// In which way a target has failed a request.
@@ -240,15 +240,15 @@
 
     /// Share of the time of a service's targets that all instances have lately
     /// given to reading, over about two seconds; over 1 where it queues.
-    [[nodiscard]] auto reading_share( core::service_id const& id,
-                                      core::instant now ) const -> double;
+    [[nodiscard]] auto prefill_utilization( core::service_id const& id,
+                                            core::instant now ) const -> double;
 
     /// Counts `work` of the instance `owner`.
     auto add_work( core::instance_id const& owner,
                    open_work const& work,
                    core::instant now ) -> void;
     /// The first event of the work has come.
-    auto end_reading( core::instance_id const& owner,
+    auto end_prefill( core::instance_id const& owner,
                       std::uint64_t serial,
                       core::instant now ) -> void;
     auto end_work( core::instance_id const& owner,
@@ -334,7 +334,7 @@
     {
         open_work work;
         std::vector<std::shared_ptr<target_entry>> at;
-        bool reading_counted{ false };
+        bool prefill_counted{ false };
         core::instant sent_at;
     };
     using work_map = std::unordered_map<std::uint64_t, known_work>;
@@ -344,7 +344,7 @@
     {
         double per_second{ 0 };
         core::instant at;
-        double reading_ms{ 0 }; ///< of these, losing weight more slowly
+        double prefill_ms{ 0 }; ///< of these, losing weight more slowly
     };
 
     /// True where a target was not known when the work was told, and is now.
@@ -353,12 +353,12 @@
     auto note_arrival( core::service_id const& id,
                        open_work const& work,
                        core::instant now ) -> void;
-    auto count_reading( known_work& known, core::instant now ) -> void;
-    auto uncount_reading( known_work& known, core::instant now ) -> void;
+    auto count_prefill( known_work& known, core::instant now ) -> void;
+    auto uncount_prefill( known_work& known, core::instant now ) -> void;
     static auto count_sent( known_work const& known ) -> void;
     static auto count_memory( known_work const& known, std::int64_t sign )
         -> void;
-    static auto count_writer( known_work const& known, std::int64_t sign )
+    static auto count_decoding( known_work const& known, std::int64_t sign )
         -> void;
     auto uncount( known_work& known, core::instant now ) -> void;
     auto insert_in_order( std::shared_ptr<target_entry> const& entry ) -> void;
--- a/src/pollenstream/exchange/own_answers.cpp
+++ b/src/pollenstream/exchange/own_answers.cpp
@@ -26,7 +26,7 @@
 }
 
 auto pause_until_room( std::size_t waiting,
-                       core::duration shortest_reading,
+                       core::duration shortest_prefill,
                        std::minstd_rand& random ) -> core::duration
 {
     auto const for_queue =
@@ -34,7 +34,7 @@
                   for_each_waiting * static_cast<std::int64_t>( waiting ) );
     auto const spread = std::uniform_int_distribution<std::int64_t>(
         0, return_spread.count() )( random );
-    return std::max( for_queue, shortest_reading * pause_per_reading ) +
+    return std::max( for_queue, shortest_prefill * pause_per_reading ) +
            core::duration( spread );
 }
 
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -149,7 +149,7 @@
                core::instant now ) -> choice_basis
 {
     auto const& first = targets.front()->load;
-    auto basis = choice_basis{ first.requests, first.parts_reading, 0 };
+    auto basis = choice_basis{ first.requests, first.parts_prefilling, 0 };
     for ( auto const& t : targets )
         basis.backlog_ms = std::max( basis.backlog_ms, t->backlog_ms( now ) );
     return basis;
@@ -177,7 +177,7 @@
 auto is_long_prompt( engine_speed const& speed, placement_demand const& demand )
     -> bool
 {
-    return read_ms( speed, demand.prompt_tokens ) >
+    return prefill_ms( speed, demand.prompt_tokens ) >
            ms_of( demand.tightest_gap ) * long_part_of_gap;
 }
 
@@ -402,7 +402,7 @@
                               candidates const& targets,
                               core::instant now ) const -> placement_result
 {
-    auto const own_read = read_ms( speed, demand.prompt_tokens );
+    auto const own_read = prefill_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
     auto const longest_pass = ms_of( demand.gap_objective ) * short_pass_of_gap;
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -47,9 +47,9 @@
 /// What was known of the targets of a choice when it was made.
 struct choice_basis
 {
-    std::int64_t requests{ 0 }; ///< that the first target answers
-    std::int64_t reading{ 0 };  ///< parts of prompts that it reads
-    double backlog_ms{ 0 };     ///< most that one of the targets has to read
+    std::int64_t requests{ 0 };   ///< that the first target answers
+    std::int64_t prefilling{ 0 }; ///< parts of prompts that it reads
+    double backlog_ms{ 0 };       ///< most that one of the targets has to read
     /// For how long the request has waited for a target's limit.
     std::int64_t limit_wait_ms{ 0 };
 };
@@ -141,7 +141,7 @@
 
     /// Shortest time in which the prompt can be read if it gets as many engines
     /// as one prompt may take.
-    [[nodiscard]] auto shortest_reading( placement_demand const& demand,
+    [[nodiscard]] auto shortest_prefill( placement_demand const& demand,
                                          service_settings const& service ) const
         -> core::duration;
 
@@ -190,12 +190,12 @@
                                     candidates const& targets,
                                     core::instant now ) const
         -> placement_result;
-    [[nodiscard]] auto choose_writer( engine_speed const& speed,
-                                      candidates const& targets,
-                                      std::int64_t memory,
-                                      double part_ms,
-                                      double draw,
-                                      core::instant now ) const
+    [[nodiscard]] auto choose_decode_target( engine_speed const& speed,
+                                             candidates const& targets,
+                                             std::int64_t memory,
+                                             double part_ms,
+                                             double draw,
+                                             core::instant now ) const
         -> std::optional<long_reader>;
     [[nodiscard]] auto choose_reserved( placement_demand const& demand,
                                         engine_speed const& speed,
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -288,7 +288,7 @@
 {
     return pause_until_room(
         owner_.waiting_.size(),
-        owner_.chooser_.shortest_reading( ask.demand, settings ),
+        owner_.chooser_.shortest_prefill( ask.demand, settings ),
         owner_.random_ );
 }
 
--- a/src/pollenstream/exchange/placement_lateness.cpp
+++ b/src/pollenstream/exchange/placement_lateness.cpp
@@ -26,13 +26,13 @@
     auto const countable = static_cast<std::size_t>(
         static_cast<double>( engines ) * countable_share );
     auto const parts = std::clamp( countable, std::size_t{ 1 }, max_helpers );
-    return read_ms( speed, demand.prompt_tokens ) /
+    return prefill_ms( speed, demand.prompt_tokens ) /
            static_cast<double>( parts );
 }
 
 }
 
-auto placement::shortest_reading( placement_demand const& demand,
+auto placement::shortest_prefill( placement_demand const& demand,
                                   service_settings const& service ) const
     -> core::duration
 {
@@ -44,7 +44,7 @@
 auto placement::is_too_late( placement_demand const& demand,
                              service_settings const& service ) const -> bool
 {
-    return demand.waited + shortest_reading( demand, service ) >
+    return demand.waited + shortest_prefill( demand, service ) >
            demand.latency_objective;
 }
 
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -88,7 +88,8 @@
 auto is_wide_prompt( engine_speed const& speed, placement_demand const& demand )
     -> bool
 {
-    return read_ms( speed, demand.prompt_tokens ) > part_goal_ms * wide_parts;
+    return prefill_ms( speed, demand.prompt_tokens ) >
+           part_goal_ms * wide_parts;
 }
 
 auto placement::choose_long( placement_demand const& demand,
@@ -96,7 +97,7 @@
                              candidates const& targets,
                              core::instant now ) const -> placement_result
 {
-    auto const total = read_ms( speed, demand.prompt_tokens );
+    auto const total = prefill_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
     auto const max_parts = std::min( targets.size(), max_helpers + 1 );
@@ -110,8 +111,8 @@
         auto const part_ms = total / static_cast<double>( parts );
         if ( part_ms > most_part )
             continue;
-        auto const writer =
-            choose_writer( speed, targets, memory, part_ms, demand.draw, now );
+        auto const writer = choose_decode_target( speed, targets, memory,
+                                                  part_ms, demand.draw, now );
         if ( !writer )
             break;
         auto readers = readers_of( speed, targets, part_ms, 0, now );
@@ -137,12 +138,12 @@
 
 /// The engine that holds a long prompt's memory and writes its answer: one
 /// that writes such answers already, so that others stay free to read.
-auto placement::choose_writer( engine_speed const& speed,
-                               candidates const& targets,
-                               std::int64_t memory,
-                               double part_ms,
-                               double draw,
-                               core::instant now ) const
+auto placement::choose_decode_target( engine_speed const& speed,
+                                      candidates const& targets,
+                                      std::int64_t memory,
+                                      double part_ms,
+                                      double draw,
+                                      core::instant now ) const
     -> std::optional<long_reader>
 {
     auto fitting = std::vector<long_reader>{};
@@ -173,7 +174,7 @@
                                  candidates const& targets,
                                  core::instant now ) const -> placement_result
 {
-    auto const total = read_ms( speed, demand.prompt_tokens );
+    auto const total = prefill_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
     auto const most = usable_memory( speed );
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -120,7 +120,7 @@
 {
     auto readers = std::vector<long_reader>{};
     for ( auto const& t : targets )
-        if ( t->load.own_parts_reading == 0 && t->backlog_ms( now ) <= 0 &&
+        if ( t->load.own_parts_prefilling == 0 && t->backlog_ms( now ) <= 0 &&
              free_memory( speed, *t ) >= memory )
             readers.push_back( reader_of( speed, t, part_ms, now ) );
     std::sort( readers.begin(), readers.end(), goes_before );
--- a/src/pollenstream/exchange/routes.hpp
+++ b/src/pollenstream/exchange/routes.hpp
@@ -66,9 +66,9 @@
     double step_ms{ 1 };               ///< one token step of an empty batch
     double step_ms_per_request{ 0 };   ///< added by each request that writes
     double step_ms_per_k_context{ 0 }; ///< added by 1,000 tokens of context
-    double read_tokens_per_ms{ 1 };
-    double read_ms_per_m_pairs{ 0 }; ///< a million pairs of tokens
-    std::int64_t read_chunk{ 1 };    ///< tokens read in one step at most
+    double prefill_tokens_per_ms{ 1 };
+    double prefill_ms_per_m_pairs{ 0 }; ///< a million pairs of tokens
+    std::int64_t prefill_chunk{ 1 };    ///< tokens read in one step at most
     std::int64_t steps_per_pass{ 1 };
     double hop_ms{ 0 }; ///< added to a step where the prompt is spread
     double usual_prompt_tokens{ 0 };
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -212,9 +212,9 @@
     arm_flush();
 }
 
-auto peer_group::reading_ended( std::uint64_t serial ) -> void
+auto peer_group::prefill_ended( std::uint64_t serial ) -> void
 {
-    pending_.reading_ended.push_back( serial );
+    pending_.prefill_ended.push_back( serial );
     arm_flush();
 }
 
@@ -251,14 +251,14 @@
     }
     auto message = base_message();
     message.work = std::exchange( pending_.work, {} );
-    message.reading_ended = std::exchange( pending_.reading_ended, {} );
+    message.prefill_ended = std::exchange( pending_.prefill_ended, {} );
     message.ended = std::exchange( pending_.ended, {} );
     message.served = std::exchange( pending_.served, {} );
     message.failed = std::exchange( pending_.failed, {} );
     message.crashes = std::exchange( pending_.crashes, {} );
     message.cleared = std::exchange( pending_.cleared, {} );
     auto const is_empty = message.work.empty() &&
-                          message.reading_ended.empty() &&
+                          message.prefill_ended.empty() &&
                           message.ended.empty() && message.served.empty() &&
                           message.failed.empty() && message.crashes.empty() &&
                           message.cleared.empty();
@@ -518,11 +518,11 @@
 {
     auto const now = scheduler_.now();
     auto freed = !message.ended.empty() || !message.served.empty() ||
-                 !message.reading_ended.empty();
+                 !message.prefill_ended.empty();
     for ( auto const& work : message.work )
         load_table_.add_work( message.sender, work, now );
-    for ( auto const serial : message.reading_ended )
-        load_table_.end_reading( message.sender, serial, now );
+    for ( auto const serial : message.prefill_ended )
+        load_table_.end_prefill( message.sender, serial, now );
     for ( auto const serial : message.served )
     {
         load_table_.end_served_work( message.sender, serial, now );
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -107,7 +107,7 @@
     std::function<void()> on_size_changed;
 
     auto work_began( exchange::open_work const& work ) -> void override;
-    auto reading_ended( std::uint64_t serial ) -> void override;
+    auto prefill_ended( std::uint64_t serial ) -> void override;
     auto work_ended( std::uint64_t serial, exchange::work_outcome outcome )
         -> void override;
     auto target_failed( exchange::target_ref const& ref,
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -32,9 +32,10 @@
 {
     auto parts = json::array();
     for ( auto const& part : all )
-        parts.push_back( json::array(
-            { part.target.str(), static_cast<std::int64_t>( part.read_ms * 10 ),
-              part.memory_tokens, part.lifetime.count() } ) );
+        parts.push_back(
+            json::array( { part.target.str(),
+                           static_cast<std::int64_t>( part.prefill_ms * 10 ),
+                           part.memory_tokens, part.lifetime.count() } ) );
     return parts;
 }
 
@@ -64,8 +65,9 @@
 auto work_to_json( exchange::open_work const& work ) -> json
 {
     return json::array( { work.serial, work.context_tokens,
-                          work.tolerated_gap_ms, work.reading, work.is_suspect,
-                          work.reserves, core::milliseconds_of( work.sent_ago ),
+                          work.tolerated_gap_ms, work.prefilling,
+                          work.is_suspect, work.reserves,
+                          core::milliseconds_of( work.sent_ago ),
                           parts_to_json( work.parts ) } );
 }
 
@@ -75,7 +77,7 @@
     work.serial = object.at( 0 ).get<std::uint64_t>();
     work.context_tokens = object.at( 1 ).get<std::int64_t>();
     work.tolerated_gap_ms = object.at( 2 ).get<std::int64_t>();
-    work.reading = object.at( 3 ).get<bool>();
+    work.prefilling = object.at( 3 ).get<bool>();
     work.is_suspect = object.at( 4 ).get<bool>();
     work.reserves = object.at( 5 ).get<bool>();
     work.sent_ago =
@@ -139,7 +141,7 @@
         { a.serial, static_cast<int>( a.decision ), parts_to_json( a.parts ),
           static_cast<std::int64_t>( a.first_event_ms ), a.needs_reservation,
           a.waiting, a.reason, a.retry_after_ms, a.basis.requests,
-          a.basis.reading, static_cast<std::int64_t>( a.basis.backlog_ms ),
+          a.basis.prefilling, static_cast<std::int64_t>( a.basis.backlog_ms ),
           a.basis.limit_wait_ms, a.is_suspect } );
 }
 
@@ -262,7 +264,7 @@
 enum list_number : std::uint8_t
 {
     list_work,
-    list_reading_ended,
+    list_prefill_ended,
     list_ended,
     list_served,
     list_undecided,
@@ -288,7 +290,7 @@
             lists.push_back( json::array( { number, std::move( list ) } ) );
     };
     add( list_work, list_to_json( m.work, work_to_json ) );
-    add( list_reading_ended, m.reading_ended );
+    add( list_prefill_ended, m.prefill_ended );
     add( list_ended, m.ended );
     add( list_served, m.served );
     add( list_undecided, m.undecided );
@@ -313,8 +315,8 @@
     {
     case list_work:
         return list_from_json( list, m.work, work_from_json );
-    case list_reading_ended:
-        m.reading_ended = list.get<serials>();
+    case list_prefill_ended:
+        m.prefill_ended = list.get<serials>();
         return;
     case list_ended:
         m.ended = list.get<serials>();
--- a/src/pollenstream/peers/peer_message.hpp
+++ b/src/pollenstream/peers/peer_message.hpp
@@ -98,7 +98,7 @@
     bool leaving{ false };       ///< it is about to stop
     bool complete{ false };      ///< `work` is all of the sender's open work
     std::vector<exchange::open_work> work;
-    std::vector<std::uint64_t> reading_ended;
+    std::vector<std::uint64_t> prefill_ended;
     std::vector<std::uint64_t> ended;
     std::vector<std::uint64_t> served; ///< ended with the whole answer
     /// Asks of the sender that are not decided; where `complete`, all of them.
--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -90,7 +90,7 @@
     if ( runs.size() < crashes_that_prove )
         return 0;
     auto const known = runs[crashes_that_prove - 1].sent_at +
-                       targets.time.reading + targets.time.until_crash +
+                       targets.time.prefill + targets.time.until_crash +
                        time_to_know;
     return static_cast<int>( std::count_if( runs.begin(), runs.end(),
                                             [known]( auto const& run )
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -170,8 +170,8 @@
     CHECK( m1->backlog_ms( now ) == Approx( 100 ) );
     // A target that is told of later than its work is not charged for it.
     loads.put( make_target( "m2", "model" ) );
-    loads.end_reading( peer, 1, now );
-    CHECK( m1->load.writers == 1 );
+    loads.end_prefill( peer, 1, now );
+    CHECK( m1->load.decoding == 1 );
     CHECK( m1->backlog_ms( now ) == 0 );
     SECTION( "it ends" )
     {
@@ -183,11 +183,11 @@
         loads.end_all_work( peer, now );
     }
     CHECK( m1->load.requests == 0 );
-    CHECK( m1->load.writers == 0 );
+    CHECK( m1->load.decoding == 0 );
     CHECK( m1->load.memory_tokens == 0 );
     CHECK( m1->load.by_gap.empty() );
     auto const m2 = loads.find( core::target_id( "m2" ) );
-    CHECK( m2->load.parts_reading == 0 );
+    CHECK( m2->load.parts_prefilling == 0 );
     CHECK( m2->load.memory_tokens == 0 );
 }
 
@@ -305,5 +305,5 @@
     loads.end_work( other, 1, now + 500ms );
     CHECK( m1->load.requests == 0 );
     CHECK( m1->load.memory_tokens == 0 );
-    CHECK( m2->load.parts_reading == 0 );
+    CHECK( m2->load.parts_prefilling == 0 );
 }
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -62,7 +62,7 @@
     {
         auto sum = std::int64_t{ 0 };
         for ( auto const& [id, t] : loads.all() )
-            sum += t->load.parts_reading;
+            sum += t->load.parts_prefilling;
         return sum;
     }
 };
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -77,9 +77,9 @@
                core::duration_of( last.choice->first_event_ms / 1'000 );
     }
 
-    auto end_reading( std::uint64_t which ) -> void
+    auto end_prefill( std::uint64_t which ) -> void
     {
-        loads.end_reading( self, which, now );
+        loads.end_prefill( self, which, now );
     }
 
     exchange::load_table loads;
@@ -102,11 +102,11 @@
 TEST_CASE( "reading grows with the square of a prompt", "[placement]" )
 {
     auto const speed = engine_speed_of_users();
-    CHECK( exchange::read_ms( speed, 5'000 ) ==
+    CHECK( exchange::prefill_ms( speed, 5'000 ) ==
            Approx( 20.7 ).epsilon( 0.05 ) );
-    CHECK( exchange::read_ms( speed, 210'000 ) ==
+    CHECK( exchange::prefill_ms( speed, 210'000 ) ==
            Approx( 2'842 ).epsilon( 0.02 ) );
-    CHECK( exchange::read_ms( speed, 1'000'000 ) ==
+    CHECK( exchange::prefill_ms( speed, 1'000'000 ) ==
            Approx( 49'756 ).epsilon( 0.02 ) );
 }
 
@@ -117,7 +117,7 @@
     for ( auto i = 0; i < 60; ++i )
     {
         REQUIRE( floor.place( 5'000, 200ms ) );
-        floor.end_reading( floor.serial );
+        floor.end_prefill( floor.serial );
         used.insert( floor.last.choice->targets[0]->properties.id.str() );
     }
     // 60 requests over 13 packed slots an engine.
@@ -131,7 +131,7 @@
     for ( auto i = 0; i < 60; ++i )
     {
         REQUIRE( floor.place( 5'000, 200ms ) );
-        floor.end_reading( floor.serial );
+        floor.end_prefill( floor.serial );
         used.insert( floor.last.choice->targets[0]->properties.id.str() );
     }
     REQUIRE( floor.place( 210'000, 800ms ) );
@@ -149,7 +149,7 @@
 {
     auto floor = engine_floor{};
     while ( floor.place( 5'000, 200ms ) )
-        floor.end_reading( floor.serial );
+        floor.end_prefill( floor.serial );
     CHECK_FALSE( floor.place( 210'000, 800ms ) );
     SECTION( "and goes on waiting once it is late itself" )
     {
@@ -171,7 +171,7 @@
             { core::target_id( "m" + std::to_string( i % 18 ) ), 0, 6'600 } };
         work.context_tokens = 5'000;
         work.tolerated_gap_ms = 200;
-        work.reading = false;
+        work.prefilling = false;
         floor.loads.add_work( floor.self, work, floor.now );
     }
     floor.waited = 9s;
@@ -217,7 +217,7 @@
         work.serial = ++floor.serial;
         work.parts = { { id, 0, 260'000 } };
         work.tolerated_gap_ms = 800;
-        work.reading = false;
+        work.prefilling = false;
         floor.loads.add_work( floor.self, work, floor.now );
     }
     REQUIRE( floor.place( 210'000, 800ms ) );
@@ -294,7 +294,7 @@
         // An instance tells of a first event when it has come.
         for ( auto const& r : open )
             if ( r.first_event <= floor.now )
-                floor.end_reading( r.serial );
+                floor.end_prefill( r.serial );
         auto const draw = std::uniform_real_distribution<>( 0, 1 )( random );
         if ( draw < 0.4 )
         {
@@ -303,7 +303,7 @@
             {
                 auto const& t = *floor.last.choice->targets[0];
                 spoiled += t.backlog_ms( floor.now ) > 200 ? 1 : 0;
-                floor.end_reading( floor.serial );
+                floor.end_prefill( floor.serial );
                 open.push_back( { floor.serial, floor.now + 2s, floor.now } );
             }
         }
--- a/tests/exchange/reading_order_test.cpp
+++ b/tests/exchange/reading_order_test.cpp
@@ -34,8 +34,8 @@
     // of 100 reviews are in time instead of all.
     auto speed = engine_speed_of_users();
     speed.memory_tokens = 197'200;
-    speed.read_tokens_per_ms = 206;
-    speed.read_ms_per_m_pairs = 0.138;
+    speed.prefill_tokens_per_ms = 206;
+    speed.prefill_ms_per_m_pairs = 0.138;
     auto load = played_load( 40, speed );
     auto reviews = requests{};
     auto audits = requests{};
--- a/tests/exchange/wide_load_test.cpp
+++ b/tests/exchange/wide_load_test.cpp
@@ -17,8 +17,8 @@
     auto s = engine_speed_of_users();
     s.memory_tokens = 315'000;
     s.step_ms = 0.85;
-    s.read_tokens_per_ms = 177;
-    s.read_ms_per_m_pairs = 0.184;
+    s.prefill_tokens_per_ms = 177;
+    s.prefill_ms_per_m_pairs = 0.184;
     s.steps_per_pass = 51;
     return s;
 }
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -295,7 +295,7 @@
     CHECK_FALSE( c.routes[1].is_idempotent() );
     CHECK( c.find_service( core::service_id( "s1" ) )->engine->slots == 16 );
     CHECK( c.find_service( core::service_id( "s1" ) )
-               ->engine->read_tokens_per_ms == Approx( 256 ) );
+               ->engine->prefill_tokens_per_ms == Approx( 256 ) );
     CHECK( c.limits.header_bytes == 100 );
     REQUIRE( c.find_workspace( "k2" ) != nullptr );
     CHECK( c.find_workspace( "k2" )->priority == 2 );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -35,9 +35,9 @@
     s.step_ms = 0.925;
     s.step_ms_per_request = 0.00483;
     s.step_ms_per_k_context = 0.00254;
-    s.read_tokens_per_ms = 256;
-    s.read_ms_per_m_pairs = 0.0917;
-    s.read_chunk = 2048;
+    s.prefill_tokens_per_ms = 256;
+    s.prefill_ms_per_m_pairs = 0.0917;
+    s.prefill_chunk = 2048;
     s.steps_per_pass = 46;
     return s;
 }
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -224,7 +224,7 @@
     {
         ++open;
     }
-    auto reading_ended( std::uint64_t ) -> void override {}
+    auto prefill_ended( std::uint64_t ) -> void override {}
     auto work_ended( std::uint64_t, exchange::work_outcome outcome )
         -> void override
     {
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -79,7 +79,7 @@
     }
     auto begin() -> void
     {
-        later( owner_.time.reading,
+        later( owner_.time.prefill,
                [this]
                {
                    body_.starts_with( fatal ) ? run_to_crash() : answer();
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -35,7 +35,7 @@
 public:
     struct times
     {
-        core::duration reading{ std::chrono::milliseconds( 60 ) };
+        core::duration prefill{ std::chrono::milliseconds( 60 ) };
         core::duration until_crash{ std::chrono::milliseconds( 80 ) };
         core::duration event_gap{ std::chrono::milliseconds( 40 ) };
         core::duration until_lapse{ std::chrono::milliseconds( 2'500 ) };
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -120,7 +120,7 @@
         if ( helper != readers.front() )
             readers.push_back( helper );
     auto const part_time =
-        core::duration_of( exchange::read_ms( speed_, tokens ) /
+        core::duration_of( exchange::prefill_ms( speed_, tokens ) /
                            static_cast<double>( readers.size() ) / 1'000 );
     auto const started = std::make_shared<answer>(
         scheduler_, std::move( listener ), readers.size() );
