--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -187,7 +187,8 @@
         demand_.prompt_tokens = request_.prompt->prompt_tokens;
         demand_.output_tokens = request_.prompt->max_output_tokens;
     }
-    is_wide_ = service_->engine && is_wide_prompt( *service_->engine, demand_ );
+    is_split_ =
+        service_->engine && is_split_prompt( *service_->engine, demand_ );
     last_event_ = request_.last_event;
     shared_.retries.note_request( demand_.service, now );
 }
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -222,7 +222,7 @@
     int priority_{ 0 };
     placement_demand demand_;
     service_settings const* service_{ nullptr };
-    bool is_wide_{ false };
+    bool is_split_{ false };
     bool is_suspect_{ false }; ///< as who granted its targets knows
     /// A plain call for which who places prompts was asked.
     bool is_asked_for_{ false };
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -317,8 +317,8 @@
 auto exchange::predicted_room() const -> core::duration
 {
     auto const reading =
-        is_wide_ ? shared_.chooser.shortest_prefill( demand_, *service_ )
-                 : core::duration( 0 );
+        is_split_ ? shared_.chooser.shortest_prefill( demand_, *service_ )
+                  : core::duration( 0 );
     return pause_until_room( queued_behind_, reading, shared_.random );
 }
 
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -6,7 +6,7 @@
 #include <pollenstream/core/units.hpp>
 #include <pollenstream/exchange/message.hpp>
 #include <pollenstream/exchange/request_limit.hpp>
-#include <pollenstream/exchange/wide_queue.hpp>
+#include <pollenstream/exchange/split_queue.hpp>
 
 #include <cstdint>
 #include <functional>
@@ -225,13 +225,13 @@
     }
 
     /// Wide prompts that wait for a decision here.
-    [[nodiscard]] auto wide() -> wide_queue&
+    [[nodiscard]] auto split_prompts() -> split_queue&
     {
-        return wide_;
+        return split_prompts_;
     }
-    [[nodiscard]] auto wide() const -> wide_queue const&
+    [[nodiscard]] auto split_prompts() const -> split_queue const&
     {
-        return wide_;
+        return split_prompts_;
     }
     /// Requests a second that all instances have lately sent to a service,
     /// over about a second.
@@ -371,7 +371,7 @@
         by_service_;
     std::unordered_map<core::instance_id, work_map> works_;
     std::unordered_map<core::service_id, arrival_rate> arrivals_;
-    wide_queue wide_;
+    split_queue split_prompts_;
     /// Few, and none as a rule: looked at for each request.
     std::unordered_map<core::target_id, core::instant> pauses_;
     std::set<core::target_id> limited_; ///< few, and none as a rule
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -213,8 +213,8 @@
     -> bool;
 
 /// True where a prompt is read by several engines at once, if they are free.
-auto is_wide_prompt( engine_speed const& speed, placement_demand const& demand )
-    -> bool;
+auto is_split_prompt( engine_speed const& speed,
+                      placement_demand const& demand ) -> bool;
 
 }
 
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -38,8 +38,8 @@
           patience_until_( owner.scheduler_.now() + ask.demand.patience_left ),
           is_long_( settings.engine &&
                     is_long_prompt( *settings.engine, ask.demand ) ),
-          is_wide_( settings.engine &&
-                    is_wide_prompt( *settings.engine, ask.demand ) )
+          is_split_( settings.engine &&
+                     is_split_prompt( *settings.engine, ask.demand ) )
     {
     }
 
@@ -99,8 +99,8 @@
     [[nodiscard]] auto is_hopeless( service_settings const& settings ) const
         -> bool;
     [[nodiscard]] auto yields( placement_choice const& choice ) const -> bool;
-    auto enter_wide_queue() -> void;
-    auto leave_wide_queue() -> void;
+    auto enter_split_queue() -> void;
+    auto leave_split_queue() -> void;
     auto grant( placement_choice choice ) -> bool;
     auto refuse( std::string reason, core::duration retry_after ) -> bool;
     auto predicted_room( service_settings const& settings ) const
@@ -112,8 +112,8 @@
     core::instant deadline_;
     core::instant patience_until_;
     bool is_long_{ false };
-    bool is_wide_{ false };
-    bool in_wide_queue_{ false };
+    bool is_split_{ false };
+    bool in_split_queue_{ false };
     bool was_tried_{ false };
     bool is_held_back_{ false }; ///< until another run of the same has ended
     /// Since when all targets that are left have got what they take.
@@ -132,15 +132,15 @@
     -> void
 {
     auto& demand = ask.demand;
-    auto const& wide = owner_.load_table_.wide();
+    auto const& split_prompts = owner_.load_table_.split_prompts();
     demand.waited = now - received_;
     demand.time_left = deadline_ - now;
     demand.patience_left = waits_until( now ) - now;
     demand.crashes = owner_.crashes_.count( ask.content );
-    demand.is_alone =
-        ( in_wide_queue_ ? wide.others( due() ) : wide.size() ) == 0;
-    demand.others_in_time = wide.others_in_time(
-        in_wide_queue_ ? due() : core::instant::min(), now );
+    demand.is_alone = ( in_split_queue_ ? split_prompts.others( due() )
+                                        : split_prompts.size() ) == 0;
+    demand.others_in_time = split_prompts.others_in_time(
+        in_split_queue_ ? due() : core::instant::min(), now );
     demand.draw =
         std::uniform_real_distribution<double>( 0, 1 )( owner_.random_ );
 }
@@ -224,7 +224,7 @@
 auto placement_coordinator::queued_prompt::is_hopeless(
     service_settings const& settings ) const -> bool
 {
-    return is_wide_ && ask.may_be_refused && ask.demand.others_in_time &&
+    return is_split_ && ask.may_be_refused && ask.demand.others_in_time &&
            owner_.chooser_.is_too_late( ask.demand, settings );
 }
 
@@ -236,37 +236,37 @@
 {
     auto const first =
         ask.demand.waited + core::duration_of( choice.first_event_ms / 1'000 );
-    return is_wide_ && ask.may_be_refused && ask.demand.others_in_time &&
+    return is_split_ && ask.may_be_refused && ask.demand.others_in_time &&
            first > ask.demand.latency_objective;
 }
 
-auto placement_coordinator::queued_prompt::enter_wide_queue() -> void
+auto placement_coordinator::queued_prompt::enter_split_queue() -> void
 {
-    if ( is_wide_ && !std::exchange( in_wide_queue_, true ) )
-        owner_.load_table_.wide().enter( due() );
+    if ( is_split_ && !std::exchange( in_split_queue_, true ) )
+        owner_.load_table_.split_prompts().enter( due() );
 }
 
-auto placement_coordinator::queued_prompt::leave_wide_queue() -> void
+auto placement_coordinator::queued_prompt::leave_split_queue() -> void
 {
-    if ( std::exchange( in_wide_queue_, false ) )
-        owner_.load_table_.wide().leave( due() );
+    if ( std::exchange( in_split_queue_, false ) )
+        owner_.load_table_.split_prompts().leave( due() );
 }
 
 auto placement_coordinator::queued_prompt::wait() -> void
 {
-    enter_wide_queue();
+    enter_split_queue();
     listener_->on_queued( owner_.waiting_.size() );
 }
 
 auto placement_coordinator::queued_prompt::close() -> void
 {
-    leave_wide_queue();
+    leave_split_queue();
 }
 
 auto placement_coordinator::queued_prompt::grant( placement_choice choice )
     -> bool
 {
-    leave_wide_queue();
+    leave_split_queue();
     owner_.grant( *this, std::move( choice ) );
     return true;
 }
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -15,7 +15,7 @@
 constexpr auto part_goal_ms = 180.0;
 /// Prompts that make this many parts or more take turns: those below mostly go
 /// to one engine.
-constexpr auto wide_parts = 3.0;
+constexpr auto split_parts = 3.0;
 /// Longest part of a long prompt, in parts of its own pause objective: who
 /// joins the engine meanwhile as a rule comes from such a route.
 constexpr auto part_of_own_gap = 0.55;
@@ -85,11 +85,11 @@
 
 }
 
-auto is_wide_prompt( engine_speed const& speed, placement_demand const& demand )
-    -> bool
+auto is_split_prompt( engine_speed const& speed,
+                      placement_demand const& demand ) -> bool
 {
     return prefill_ms( speed, demand.prompt_tokens ) >
-           part_goal_ms * wide_parts;
+           part_goal_ms * split_parts;
 }
 
 auto placement::choose_long( placement_demand const& demand,
--- a/src/pollenstream/exchange/wide_queue.hpp
+++ b/src/pollenstream/exchange/split_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_WIDE_QUEUE_HPP
-#define POLLENSTREAM_EXCHANGE_WIDE_QUEUE_HPP
+#ifndef POLLENSTREAM_EXCHANGE_SPLIT_QUEUE_HPP
+#define POLLENSTREAM_EXCHANGE_SPLIT_QUEUE_HPP
 
 #include <pollenstream/core/units.hpp>
 
@@ -13,7 +13,7 @@
 /// its first event. A prompt is wide where several engines read it at once.
 ///
 /// Used by one thread.
-class wide_queue
+class split_queue
 {
 public:
     auto enter( core::instant due ) -> void;
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -167,7 +167,7 @@
     f.scheduler.run( 2s );
     CHECK( waits->grants.empty() );
     CHECK( f.total_reading() == 0 );
-    CHECK( f.loads.wide().size() == 0 );
+    CHECK( f.loads.split_prompts().size() == 0 );
 }
 
 TEST_CASE( "an ask whose caller has left is dropped without a word",
--- a/tests/exchange/wide_queue_test.cpp
+++ b/tests/exchange/split_queue_test.cpp
@@ -1,4 +1,4 @@
-#include <pollenstream/exchange/wide_queue.hpp>
+#include <pollenstream/exchange/split_queue.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -11,7 +11,7 @@
 TEST_CASE( "a wide prompt does not count itself among those that wait",
            "[wide]" )
 {
-    auto queue = exchange::wide_queue{};
+    auto queue = exchange::split_queue{};
     auto const now = core::instant( 100s );
     queue.enter( now + 1s );
     CHECK( queue.others( now + 1s ) == 0 );
