--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -169,7 +169,7 @@
         .loads = load_table_,
         .crashes = crashes_,
         .chooser = placement_,
-        .asks = router_,
+        .placements = router_,
         .retries = retries_,
         .room = room_,
         .log = log_,
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -8,7 +8,7 @@
 #include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/message.hpp>
 #include <pollenstream/exchange/placement.hpp>
-#include <pollenstream/exchange/placer.hpp>
+#include <pollenstream/exchange/placement_client.hpp>
 #include <pollenstream/exchange/reservation.hpp>
 #include <pollenstream/exchange/routes.hpp>
 #include <pollenstream/exchange/shared_retry_budget.hpp>
@@ -89,8 +89,8 @@
     reservation_caller& reservations;
     load_table& loads;
     crash_history& crashes;
-    placement& chooser; ///< for what this instance places by itself
-    placer& asks;       ///< gets targets for prompts
+    placement& chooser;           ///< for what this instance places by itself
+    placement_client& placements; ///< gets targets for prompts
     shared_retry_budget& retries;
     waiting_room& room;
     event_log& log;
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -255,8 +255,9 @@
 {
     auto demand = demand_;
     demand.only_to_hear = true;
-    demand.limits =
-        shared_.asks.places_for_all() ? limit_use::for_all : limit_use::unasked;
+    demand.limits = shared_.placements.is_active_coordinator()
+                        ? limit_use::for_all
+                        : limit_use::unasked;
     auto result = shared_.chooser.choose( demand, *service_, now );
     if ( result.choice && demand.limits == limit_use::unasked )
         shared_.loads.note_unasked( result.choice->parts, now );
@@ -288,14 +289,14 @@
                  shared_.self } );
         return true;
     }
-    if ( result.reason == no_choice::limited )
+    if ( result.reason == placement_obstacle::limited )
     {
         // Who places prompts hands out what such targets take.
         is_asked_for_ = true;
         ask_for_targets();
         return true;
     }
-    if ( result.reason == no_choice::paused )
+    if ( result.reason == placement_obstacle::paused )
         return wait_for_pause( now );
     if ( route_->kind == request_kind::stream )
         return false;
@@ -309,7 +310,7 @@
     shared_.loads.end_work( shared_.self, serial, shared_.scheduler.now() );
     if ( !is_told_to_others() )
         return;
-    shared_.asks.release( serial );
+    shared_.placements.release( serial );
     shared_.announcer.work_ended( serial, outcome );
 }
 
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -60,8 +60,8 @@
 private:
     class attempt;
     friend class attempt;
-    class answer_to_ask;
-    friend class answer_to_ask;
+    class placement_reply;
+    friend class placement_reply;
 
     /// What is open at targets for this request.
     struct open_try
@@ -83,10 +83,10 @@
     };
 
     /// An ask for targets that has not been answered.
-    struct pending_ask
+    struct pending_placement
     {
         std::uint64_t serial{ 0 };
-        std::unique_ptr<open_ask> open;
+        std::unique_ptr<open_placement> open;
         core::instant asked_at;
     };
 
@@ -236,7 +236,7 @@
     std::unique_ptr<ports::scheduled_call> watch_call_;
     std::unique_ptr<ports::scheduled_call> pause_call_;
 
-    std::optional<pending_ask> ask_;
+    std::optional<pending_placement> ask_;
     std::size_t queued_behind_{ 0 }; ///< asks that wait where this one does
     core::duration last_ask_time_{ 0 };
     std::optional<open_try> current_; ///< whose answer is passed on
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -25,10 +25,10 @@
 }
 
 /// Passes on what becomes of one ask, and keeps the exchange alive meanwhile.
-class exchange::answer_to_ask : public placement_listener
+class exchange::placement_reply : public placement_listener
 {
 public:
-    answer_to_ask( std::shared_ptr<exchange> owner, std::uint64_t serial )
+    placement_reply( std::shared_ptr<exchange> owner, std::uint64_t serial )
         : owner_( std::move( owner ) ), serial_( serial )
     {
     }
@@ -56,20 +56,20 @@
 {
     begin_waiting();
     auto const serial = ++shared_.last_serial;
-    ask_ = pending_ask{ serial, nullptr, shared_.scheduler.now() };
-    auto what = placement_ask{};
-    what.asker = shared_.self;
+    ask_ = pending_placement{ serial, nullptr, shared_.scheduler.now() };
+    auto what = placement_request{};
+    what.requester = shared_.self;
     what.serial = serial;
-    what.request = request_.id;
+    what.attempt = request_.id;
     what.content = content_;
     for ( auto const& run : shared_.crashes.crashes_of( content_ ) )
         what.crashed_at.push_back( run.target );
     what.demand = demand_;
     what.priority = priority_;
     what.may_be_refused = !may_have_run_;
-    auto open = shared_.asks.ask(
+    auto open = shared_.placements.request(
         std::move( what ),
-        std::make_shared<answer_to_ask>( shared_from_this(), serial ) );
+        std::make_shared<placement_reply>( shared_from_this(), serial ) );
     if ( !ask_ || ask_->serial != serial )
         return;
     ask_->open = std::move( open );
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -264,11 +264,11 @@
     auto const is_small = !service.engine || demand.prompt_tokens == 0 ||
                           !is_long_prompt( *service.engine, demand );
     if ( options.free.empty() || !is_small || demand.crashes > 0 )
-        return nothing( no_choice::full );
+        return not_placed( placement_obstacle::full );
     for ( auto const& t : options.limited )
         if ( t->limit.is_unheard( now ) )
             return choose_from( { t }, demand, service, now );
-    return nothing( no_choice::full );
+    return not_placed( placement_obstacle::full );
 }
 
 /// A limit is room: targets without one come first, those that have room by
@@ -278,25 +278,25 @@
                                 service_settings const& service,
                                 core::instant now ) const -> placement_result
 {
-    auto result = nothing( no_choice::no_targets );
+    auto result = not_placed( placement_obstacle::no_targets );
     if ( !options.free.empty() )
         result = choose_from( options.free, demand, service, now );
     else if ( demand.only_to_hear && options.has_limited() )
-        return nothing( no_choice::limited );
+        return not_placed( placement_obstacle::limited );
     if ( !result.choice && !demand.only_to_hear && !options.limited.empty() )
     {
         auto all = options.free;
         all.insert( all.end(), options.limited.begin(), options.limited.end() );
         result = choose_from( all, demand, service, now );
     }
-    if ( result.choice || result.reason != no_choice::no_targets )
+    if ( result.choice || result.reason != placement_obstacle::no_targets )
         return result;
     if ( !options.ejected.empty() )
         return choose_from( options.ejected, demand, service, now );
     if ( options.more )
-        return nothing( no_choice::limited );
-    return nothing( pauses_only( demand ) ? no_choice::paused
-                                          : no_choice::no_targets );
+        return not_placed( placement_obstacle::limited );
+    return not_placed( pauses_only( demand ) ? placement_obstacle::paused
+                                             : placement_obstacle::no_targets );
 }
 
 auto placement::choose_from( candidates const& targets,
@@ -394,7 +394,7 @@
     choice.targets.push_back( best );
     choice.parts.push_back(
         { best->properties.id, 0, 0, best->properties.lifetime } );
-    return { choice, no_choice::full };
+    return { choice, placement_obstacle::full };
 }
 
 auto placement::choose_short( placement_demand const& demand,
@@ -441,14 +441,14 @@
     if ( preferred.empty() )
         preferred = soonest_of( std::move( others ) );
     if ( preferred.empty() )
-        return nothing( no_choice::full );
+        return not_placed( placement_obstacle::full );
     auto const& best = drawn_from( preferred, demand.draw );
     auto choice = placement_choice{};
     choice.targets.push_back( best.target );
     choice.parts.push_back( { best.target->properties.id, own_read, memory,
                               best.target->properties.lifetime } );
     choice.first_event_ms = best.first_ms;
-    return { choice, no_choice::full };
+    return { choice, placement_obstacle::full };
 }
 
 }
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -68,7 +68,7 @@
 };
 
 /// Why nothing was chosen.
-enum class no_choice
+enum class placement_obstacle
 {
     no_targets, ///< none that may get work
     full,       ///< none has room now
@@ -80,13 +80,13 @@
 struct placement_result
 {
     std::optional<placement_choice> choice;
-    no_choice reason{ no_choice::no_targets };
+    placement_obstacle reason{ placement_obstacle::no_targets };
 };
 
 struct long_reader;
 
 /// No choice, for `reason`.
-inline auto nothing( no_choice reason ) -> placement_result
+inline auto not_placed( placement_obstacle reason ) -> placement_result
 {
     return { std::nullopt, reason };
 }
--- a/src/pollenstream/exchange/placer.hpp
+++ b/src/pollenstream/exchange/placement_client.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_PLACER_HPP
-#define POLLENSTREAM_EXCHANGE_PLACER_HPP
+#ifndef POLLENSTREAM_EXCHANGE_PLACEMENT_CLIENT_HPP
+#define POLLENSTREAM_EXCHANGE_PLACEMENT_CLIENT_HPP
 
 #include <pollenstream/exchange/message.hpp>
 #include <pollenstream/exchange/placement.hpp>
@@ -15,11 +15,11 @@
 {
 
 /// A prompt for which an instance asks targets.
-struct placement_ask
+struct placement_request
 {
-    core::instance_id asker;
+    core::instance_id requester;
     std::uint64_t serial{ 0 }; ///< of the work at the asker, unique there
-    attempt_id request;        ///< for logs
+    attempt_id attempt;        ///< for logs
     content_id content;
     /// Targets that may have ended by runs of the content, as the asker knows.
     std::vector<target_ref> crashed_at;
@@ -61,23 +61,23 @@
 };
 
 /// An ask that has not been decided. It is withdrawn when this goes.
-class open_ask
+class open_placement
 {
 public:
-    virtual ~open_ask() = default;
+    virtual ~open_placement() = default;
 };
 
 /// Gets targets for prompts.
-class placer
+class placement_client
 {
 public:
-    virtual ~placer() = default;
+    virtual ~placement_client() = default;
     /// May answer before it returns. `what.serial` is given out by the caller.
-    virtual auto ask( placement_ask what,
-                      std::shared_ptr<placement_listener> listener )
-        -> std::unique_ptr<open_ask> = 0;
+    virtual auto request( placement_request what,
+                          std::shared_ptr<placement_listener> listener )
+        -> std::unique_ptr<open_placement> = 0;
     /// This instance is the one that is asked first.
-    [[nodiscard]] virtual auto places_for_all() const -> bool = 0;
+    [[nodiscard]] virtual auto is_active_coordinator() const -> bool = 0;
     /// The work of a grant has ended.
     virtual auto release( std::uint64_t serial ) -> void = 0;
 };
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -28,18 +28,19 @@
 {
 public:
     queued_prompt( placement_coordinator& owner,
-                   placement_ask what,
+                   placement_request what,
                    service_settings const& settings,
                    std::shared_ptr<placement_listener> listener )
-        : ask( std::move( what ) ), owner_( owner ),
+        : request( std::move( what ) ), owner_( owner ),
           listener_( std::move( listener ) ),
-          received_( owner.scheduler_.now() - ask.demand.waited ),
-          deadline_( owner.scheduler_.now() + ask.demand.time_left ),
-          patience_until_( owner.scheduler_.now() + ask.demand.patience_left ),
+          received_( owner.scheduler_.now() - request.demand.waited ),
+          deadline_( owner.scheduler_.now() + request.demand.time_left ),
+          patience_until_( owner.scheduler_.now() +
+                           request.demand.patience_left ),
           is_long_( settings.engine &&
-                    is_long_prompt( *settings.engine, ask.demand ) ),
+                    is_long_prompt( *settings.engine, request.demand ) ),
           is_split_( settings.engine &&
-                     is_split_prompt( *settings.engine, ask.demand ) )
+                     is_split_prompt( *settings.engine, request.demand ) )
     {
     }
 
@@ -47,11 +48,11 @@
     [[nodiscard]] auto order() const -> double override;
     [[nodiscard]] auto service() const -> core::service_id const& override
     {
-        return ask.demand.service;
+        return request.demand.service;
     }
     [[nodiscard]] auto size() const -> std::int64_t override
     {
-        return ask.demand.prompt_tokens;
+        return request.demand.prompt_tokens;
     }
     [[nodiscard]] auto is_long() const -> bool override
     {
@@ -62,8 +63,8 @@
     /// soon as it cannot be in time.
     [[nodiscard]] auto is_always_tried() const -> bool override
     {
-        return is_held_back_ || limited_since_ || !ask.demand.tried.empty() ||
-               !ask.demand.paused.empty();
+        return is_held_back_ || limited_since_ ||
+               !request.demand.tried.empty() || !request.demand.paused.empty();
     }
 
     /// Takes over where the same ask comes again.
@@ -79,19 +80,19 @@
     /// Gives up what it holds; no answer follows.
     auto close() -> void;
 
-    placement_ask ask;
+    placement_request request;
 
 private:
     [[nodiscard]] auto due() const -> core::instant
     {
-        return received_ + ask.demand.latency_objective;
+        return received_ + request.demand.latency_objective;
     }
     /// Where a caller has a part of the answer already, or a silent target that
     /// may speak, its patience is not known: behind it, its time counts.
     [[nodiscard]] auto waits_until( core::instant now ) const -> core::instant
     {
         auto const is_past = now > patience_until_;
-        return is_past && !ask.may_be_refused ? deadline_ : patience_until_;
+        return is_past && !request.may_be_refused ? deadline_ : patience_until_;
     }
     auto refresh_demand( core::instant now ) -> void;
     auto try_choose( core::instant now ) -> bool;
@@ -125,18 +126,18 @@
     auto const seconds = core::seconds_of( due().time_since_epoch() );
     auto const is_late = owner_.scheduler_.now() > due();
     return seconds + ( is_late ? late_penalty : 0 ) +
-           ask.priority * priority_step;
+           request.priority * priority_step;
 }
 
 auto placement_coordinator::queued_prompt::refresh_demand( core::instant now )
     -> void
 {
-    auto& demand = ask.demand;
+    auto& demand = request.demand;
     auto const& split_prompts = owner_.load_table_.split_prompts();
     demand.waited = now - received_;
     demand.time_left = deadline_ - now;
     demand.patience_left = waits_until( now ) - now;
-    demand.crashes = owner_.crashes_.count( ask.content );
+    demand.crashes = owner_.crashes_.count( request.content );
     demand.is_alone = ( in_split_queue_ ? split_prompts.others( due() )
                                         : split_prompts.size() ) == 0;
     demand.others_in_time = split_prompts.others_in_time(
@@ -154,7 +155,7 @@
     if ( std::exchange( was_tried_, true ) && is_over )
     {
         close();
-        owner_.waiting_.erase( { ask.asker, ask.serial } );
+        owner_.waiting_.erase( { request.requester, request.serial } );
         return true;
     }
     return try_choose( now );
@@ -164,34 +165,34 @@
     -> bool
 {
     auto const* const settings =
-        owner_.configuration_->find_service( ask.demand.service );
+        owner_.configuration_->find_service( request.demand.service );
     if ( settings == nullptr )
         return refuse( "unknown_service", 0ms );
-    if ( owner_.crashes_.is_quarantined( ask.content ) )
+    if ( owner_.crashes_.is_quarantined( request.content ) )
         return refuse( quarantined_reason, 0ms );
     refresh_demand( now );
     // Its next run tells whether it ends its targets: one at a time.
     is_held_back_ =
-        owner_.crashes_.awaits_proof( ask.content ) ||
-        ( ask.demand.crashes + 1 >= crash_history::crashes_to_quarantine &&
-          owner_.runs_now( ask.content ) );
+        owner_.crashes_.awaits_proof( request.content ) ||
+        ( request.demand.crashes + 1 >= crash_history::crashes_to_quarantine &&
+          owner_.runs_now( request.content ) );
     if ( is_held_back_ )
         return false;
-    auto result = owner_.chooser_.choose( ask.demand, *settings, now );
+    auto result = owner_.chooser_.choose( request.demand, *settings, now );
     if ( result.choice && yields( *result.choice ) )
-        result = nothing( no_choice::full );
+        result = not_placed( placement_obstacle::full );
     if ( result.choice )
     {
         result.choice->basis.limit_wait_ms =
             core::milliseconds_of( now - limited_since_.value_or( now ) );
         return grant( std::move( *result.choice ) );
     }
-    if ( result.reason == no_choice::too_large )
+    if ( result.reason == placement_obstacle::too_large )
         return refuse( "too_large", 0ms );
-    if ( result.reason == no_choice::limited )
+    if ( result.reason == placement_obstacle::limited )
         return wait_for_limit( now );
     // A plain call waits for nothing else, unless its answer has begun.
-    if ( !settings->engine && ask.may_be_refused )
+    if ( !settings->engine && request.may_be_refused )
         return refuse( "no_targets", retry_after_no_target );
     if ( is_hopeless( *settings ) )
         return refuse( "no_room_in_time", predicted_room( *settings ) );
@@ -204,11 +205,11 @@
 auto placement_coordinator::queued_prompt::wait_for_limit( core::instant now )
     -> bool
 {
-    auto const room = owner_.chooser_.room_by_limits( ask.demand );
+    auto const room = owner_.chooser_.room_by_limits( request.demand );
     auto const ahead = owner_.waiting_before( *this );
     auto const is_first_try = !limited_since_;
     limited_since_ = limited_since_.value_or( now );
-    if ( !room || !ask.may_be_refused )
+    if ( !room || !request.may_be_refused )
         return false;
     auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
     if ( room->behind( ahead ) <= latest )
@@ -224,8 +225,9 @@
 auto placement_coordinator::queued_prompt::is_hopeless(
     service_settings const& settings ) const -> bool
 {
-    return is_split_ && ask.may_be_refused && ask.demand.others_in_time &&
-           owner_.chooser_.is_too_late( ask.demand, settings );
+    return is_split_ && request.may_be_refused &&
+           request.demand.others_in_time &&
+           owner_.chooser_.is_too_late( request.demand, settings );
 }
 
 /// True where a wide prompt would be late with `choice` while others wait that
@@ -234,10 +236,11 @@
 auto placement_coordinator::queued_prompt::yields(
     placement_choice const& choice ) const -> bool
 {
-    auto const first =
-        ask.demand.waited + core::duration_of( choice.first_event_ms / 1'000 );
-    return is_split_ && ask.may_be_refused && ask.demand.others_in_time &&
-           first > ask.demand.latency_objective;
+    auto const first = request.demand.waited +
+                       core::duration_of( choice.first_event_ms / 1'000 );
+    return is_split_ && request.may_be_refused &&
+           request.demand.others_in_time &&
+           first > request.demand.latency_objective;
 }
 
 auto placement_coordinator::queued_prompt::enter_split_queue() -> void
@@ -278,7 +281,7 @@
     close();
     owner_.counters_.refused.add();
     auto const listener = listener_;
-    owner_.waiting_.erase( { ask.asker, ask.serial } );
+    owner_.waiting_.erase( { request.requester, request.serial } );
     listener->on_refused( { std::move( reason ), retry_after } );
     return true;
 }
@@ -288,7 +291,7 @@
 {
     return pause_until_room(
         owner_.waiting_.size(),
-        owner_.chooser_.shortest_prefill( ask.demand, settings ),
+        owner_.chooser_.shortest_prefill( request.demand, settings ),
         owner_.random_ );
 }
 
@@ -355,7 +358,7 @@
                                             limited_room const& room )
     -> core::duration
 {
-    auto const& demand = who.ask.demand;
+    auto const& demand = who.request.demand;
     auto const now = scheduler_.now();
     auto& last = returns_[demand.service];
     auto const next = last + core::duration_of( 1 / room.per_second );
@@ -370,15 +373,15 @@
                                       placement_choice const& choice ) -> void
 {
     auto work = open_work{};
-    work.serial = who.ask.serial;
+    work.serial = who.request.serial;
     work.parts = choice.parts;
-    work.context_tokens = who.ask.demand.prompt_tokens;
+    work.context_tokens = who.request.demand.prompt_tokens;
     work.tolerated_gap_ms =
-        core::milliseconds_of( who.ask.demand.gap_objective );
-    work.is_suspect = who.ask.demand.crashes > 0;
+        core::milliseconds_of( who.request.demand.gap_objective );
+    work.is_suspect = who.request.demand.crashes > 0;
     work.reserves = choice.needs_reservation;
     auto const now = scheduler_.now();
-    auto const use = who.ask.demand.limits;
+    auto const use = who.request.demand.limits;
     for ( auto const& target : choice.targets )
         core::check_invariant( core::invariant::limit_holds,
                                load_table_.may_send( *target, use, now ),
@@ -386,7 +389,7 @@
                                    " is granted over its limit" );
     if ( use == limit_use::unasked )
         load_table_.note_unasked( work.parts, now );
-    load_table_.add_work( who.ask.asker, work, now );
+    load_table_.add_work( who.request.requester, work, now );
 }
 
 auto placement_coordinator::runs_now( content_id content ) const -> bool
@@ -401,27 +404,27 @@
 auto placement_coordinator::grant( queued_prompt const& who,
                                    placement_choice choice ) -> void
 {
-    auto const name = key{ who.ask.asker, who.ask.serial };
+    auto const name = key{ who.request.requester, who.request.serial };
     auto const found = waiting_.find( name );
     core::check_invariant(
         core::invariant::ends_in_time, found != waiting_.end(),
-        "grant to " + who.ask.request.str() + ", which does not wait" );
+        "grant to " + who.request.attempt.str() + ", which does not wait" );
     // Keeps the prompt until the end of this call.
     auto const keep = found->second;
     waiting_.erase( found );
     add_work( *keep, choice );
     counters_.granted.add();
-    auto const is_suspect = keep->ask.demand.crashes > 0;
-    granted_[name] = { choice, keep->ask.content, is_suspect };
+    auto const is_suspect = keep->request.demand.crashes > 0;
+    granted_[name] = { choice, keep->request.content, is_suspect };
     keep->listener().on_granted(
         { name.second, std::move( choice ), self_, is_suspect } );
 }
 
-auto placement_coordinator::ask( placement_ask what,
-                                 std::shared_ptr<placement_listener> listener )
+auto placement_coordinator::request(
+    placement_request what, std::shared_ptr<placement_listener> listener )
     -> void
 {
-    auto const name = key{ what.asker, what.serial };
+    auto const name = key{ what.requester, what.serial };
     auto const granted = granted_.find( name );
     if ( granted != granted_.end() )
     {
@@ -455,10 +458,10 @@
     who->wait();
 }
 
-auto placement_coordinator::release( core::instance_id const& asker,
+auto placement_coordinator::release( core::instance_id const& requester,
                                      std::uint64_t serial ) -> void
 {
-    auto const name = key{ asker, serial };
+    auto const name = key{ requester, serial };
     auto const found = waiting_.find( name );
     if ( found != waiting_.end() )
     {
@@ -468,30 +471,30 @@
         room_.remove( who.get() );
     }
     granted_.erase( name );
-    load_table_.end_work( asker, serial, scheduler_.now() );
+    load_table_.end_work( requester, serial, scheduler_.now() );
 }
 
-auto placement_coordinator::keep_only( core::instance_id const& asker,
+auto placement_coordinator::keep_only( core::instance_id const& requester,
                                        std::set<std::uint64_t> const& open )
     -> void
 {
     auto gone = std::vector<std::uint64_t>{};
     auto const collect = [&]( auto const& all )
     {
-        for ( auto at = all.lower_bound( { asker, 0 } );
-              at != all.end() && at->first.first == asker; ++at )
+        for ( auto at = all.lower_bound( { requester, 0 } );
+              at != all.end() && at->first.first == requester; ++at )
             if ( !open.contains( at->first.second ) )
                 gone.push_back( at->first.second );
     };
     collect( waiting_ );
     collect( granted_ );
     for ( auto const serial : gone )
-        release( asker, serial );
+        release( requester, serial );
 }
 
-auto placement_coordinator::forget( core::instance_id const& asker ) -> void
+auto placement_coordinator::forget( core::instance_id const& requester ) -> void
 {
-    keep_only( asker, {} );
+    keep_only( requester, {} );
 }
 
 }
--- a/src/pollenstream/exchange/placement_coordinator.hpp
+++ b/src/pollenstream/exchange/placement_coordinator.hpp
@@ -5,7 +5,7 @@
 #include <pollenstream/exchange/crash_history.hpp>
 #include <pollenstream/exchange/event_log.hpp>
 #include <pollenstream/exchange/load_table.hpp>
-#include <pollenstream/exchange/placer.hpp>
+#include <pollenstream/exchange/placement_client.hpp>
 #include <pollenstream/exchange/routes.hpp>
 #include <pollenstream/exchange/waiting_room.hpp>
 #include <pollenstream/ports/scheduler.hpp>
@@ -58,16 +58,16 @@
 
     /// Decides now, or when there is room. The same ask again gets the answer
     /// that it had.
-    auto ask( placement_ask what, std::shared_ptr<placement_listener> listener )
-        -> void;
+    auto request( placement_request what,
+                  std::shared_ptr<placement_listener> listener ) -> void;
     /// The ask is withdrawn, or the work of its grant has ended.
-    auto release( core::instance_id const& asker, std::uint64_t serial )
+    auto release( core::instance_id const& requester, std::uint64_t serial )
         -> void;
-    /// Releases all of `asker` but what is in `open`.
-    auto keep_only( core::instance_id const& asker,
+    /// Releases all of `requester` but what is in `open`.
+    auto keep_only( core::instance_id const& requester,
                     std::set<std::uint64_t> const& open ) -> void;
     /// The asker has ended.
-    auto forget( core::instance_id const& asker ) -> void;
+    auto forget( core::instance_id const& requester ) -> void;
 
     [[nodiscard]] auto waiting() const -> std::size_t
     {
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -130,10 +130,10 @@
             break;
     }
     if ( !best )
-        return nothing( no_choice::full );
+        return not_placed( placement_obstacle::full );
     auto choice = make_choice( speed, *best );
     choice.parts.front().memory_tokens = memory;
-    return { std::move( choice ), no_choice::full };
+    return { std::move( choice ), placement_obstacle::full };
 }
 
 /// The engine that holds a long prompt's memory and writes its answer: one
@@ -182,7 +182,7 @@
         load_table_.of_service( demand.service ).size();
     if ( memory > most * static_cast<std::int64_t>(
                              std::min( service_targets, max_helpers ) ) )
-        return nothing( no_choice::too_large );
+        return not_placed( placement_obstacle::too_large );
     auto const max_parts = std::min( targets.size(), max_helpers );
     auto const limit = limit_for( demand, targets, max_parts, total, now );
     auto const most_part =
@@ -206,12 +206,12 @@
             break;
     }
     if ( !best )
-        return nothing( no_choice::full );
+        return not_placed( placement_obstacle::full );
     auto choice = make_choice( speed, *best );
     choice.needs_reservation = true;
     for ( auto& part : choice.parts )
         part.memory_tokens = part_memory( memory, choice.parts.size() );
-    return { std::move( choice ), no_choice::full };
+    return { std::move( choice ), placement_obstacle::full };
 }
 
 }
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -182,16 +182,17 @@
     return table_.number_before( now );
 }
 
-auto peer_group::send_ask( core::instance_id const& to,
-                           exchange::placement_ask const& ask ) -> void
+auto peer_group::send_request( core::instance_id const& to,
+                               exchange::placement_request const& request )
+    -> void
 {
     auto message = base_message();
-    message.asks.push_back( ask );
+    message.placement_requests.push_back( request );
     send_to_peer( to, message );
 }
 
 auto peer_group::send_answer( core::instance_id const& to,
-                              ask_answer const& answer ) -> void
+                              placement_answer const& answer ) -> void
 {
     auto message = base_message();
     message.answers.push_back( answer );
@@ -419,7 +420,7 @@
     take_leaving( message );
     take_limits( message );
     take_work( message );
-    take_asks( message );
+    take_placement_requests( message );
     if ( !message.update.empty() && on_update )
         on_update( message.sender.str(), message.update );
 }
@@ -472,14 +473,14 @@
     }
 }
 
-auto peer_group::take_asks( peer_message& message ) -> void
+auto peer_group::take_placement_requests( peer_message& message ) -> void
 {
     if ( handler_ == nullptr )
         return;
-    for ( auto& ask : message.asks )
+    for ( auto& request : message.placement_requests )
     {
-        ask.asker = message.sender;
-        handler_->on_ask( std::move( ask ) );
+        request.requester = message.sender;
+        handler_->on_request( std::move( request ) );
     }
     for ( auto const& answer : message.answers )
         handler_->on_answer( message.sender, answer );
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -5,9 +5,9 @@
 #include <pollenstream/exchange/context.hpp>
 #include <pollenstream/exchange/event_log.hpp>
 #include <pollenstream/exchange/load_table.hpp>
-#include <pollenstream/peers/ask_transport.hpp>
 #include <pollenstream/peers/peer_message.hpp>
 #include <pollenstream/peers/peer_table.hpp>
+#include <pollenstream/peers/placement_transport.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
 #include <functional>
@@ -49,7 +49,7 @@
 /// sends grows with its own requests and not with the number of instances: told
 /// to all, open work took 66 kB a second of each of 295 instances, for less
 /// than one request a second each (a calm day of a played deployment).
-class peer_group : public exchange::work_announcer, public ask_transport
+class peer_group : public exchange::work_announcer, public placement_transport
 {
 public:
     peer_group( own_state self,
@@ -87,7 +87,7 @@
         return table_.all();
     }
     /// Who is told of asks for targets, of answers and of open work.
-    auto set_ask_handler( ask_handler& handler ) -> void
+    auto set_ask_handler( placement_handler& handler ) -> void
     {
         handler_ = &handler;
     }
@@ -125,10 +125,11 @@
 
     [[nodiscard]] auto coordinators() const
         -> std::vector<core::instance_id> override;
-    auto send_ask( core::instance_id const& to,
-                   exchange::placement_ask const& ask ) -> void override;
-    auto send_answer( core::instance_id const& to, ask_answer const& answer )
+    auto send_request( core::instance_id const& to,
+                       exchange::placement_request const& request )
         -> void override;
+    auto send_answer( core::instance_id const& to,
+                      placement_answer const& answer ) -> void override;
     auto send_release( core::instance_id const& to, std::uint64_t serial )
         -> void override;
 
@@ -173,7 +174,7 @@
     [[nodiscard]] auto told( exchange::crashed_run const& what ) const
         -> told_crash;
     auto add_target_news( peer_message& message ) -> void;
-    auto take_asks( peer_message& message ) -> void;
+    auto take_placement_requests( peer_message& message ) -> void;
     auto take_work( peer_message const& message ) -> void;
     auto release( core::instance_id const& owner, std::uint64_t serial )
         -> void;
@@ -190,7 +191,7 @@
     exchange::load_table& load_table_;
     exchange::crash_history& crashes_;
     exchange::event_log& log_;
-    ask_handler* handler_{ nullptr };
+    placement_handler* handler_{ nullptr };
 
     peer_table table_;
     core::instant started_;
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -86,36 +86,40 @@
     return work;
 }
 
-auto ask_to_json( exchange::placement_ask const& ask ) -> json
+auto placement_request_to_json( exchange::placement_request const& request )
+    -> json
 {
-    auto const& d = ask.demand;
+    auto const& d = request.demand;
     auto tried = json::array();
     for ( auto const& id : d.tried )
         tried.push_back( id.str() );
     for ( auto const& id : d.paused )
         tried.push_back( id.str() );
     auto crashed_at = json::array();
-    for ( auto const& target : ask.crashed_at )
+    for ( auto const& target : request.crashed_at )
         crashed_at.push_back( ref_to_json( target ) );
-    return json::array( { ask.serial, ask.request.str(), d.service.str(),
-                          d.prompt_tokens, d.output_tokens,
+    return json::array( { request.serial, request.attempt.str(),
+                          d.service.str(), d.prompt_tokens, d.output_tokens,
                           core::milliseconds_of( d.latency_objective ),
                           core::milliseconds_of( d.gap_objective ),
                           core::milliseconds_of( d.tightest_gap ),
                           core::milliseconds_of( d.waited ),
                           core::milliseconds_of( d.time_left ),
                           core::milliseconds_of( d.patience_left ),
-                          std::move( tried ), ask.priority, ask.may_be_refused,
-                          ask.content.count(), std::move( crashed_at ) } );
+                          std::move( tried ), request.priority,
+                          request.may_be_refused, request.content.count(),
+                          std::move( crashed_at ) } );
 }
 
-auto ask_from_json( json const& object ) -> exchange::placement_ask
+auto placement_request_from_json( json const& object )
+    -> exchange::placement_request
 {
-    auto ask = exchange::placement_ask{};
-    auto& d = ask.demand;
+    auto request = exchange::placement_request{};
+    auto& d = request.demand;
     auto at = std::size_t{ 0 };
-    ask.serial = object.at( at++ ).get<std::uint64_t>();
-    ask.request = exchange::attempt_id( object.at( at++ ).get<std::string>() );
+    request.serial = object.at( at++ ).get<std::uint64_t>();
+    request.attempt =
+        exchange::attempt_id( object.at( at++ ).get<std::string>() );
     d.service = core::service_id( object.at( at++ ).get<std::string>() );
     d.prompt_tokens = object.at( at++ ).get<std::int64_t>();
     d.output_tokens = object.at( at++ ).get<std::int64_t>();
@@ -127,15 +131,16 @@
     d.patience_left = ms_from_json( object.at( at++ ) );
     for ( auto const& id : object.at( at++ ) )
         d.tried.emplace_back( id.get<std::string>() );
-    ask.priority = object.at( at++ ).get<int>();
-    ask.may_be_refused = object.at( at++ ).get<bool>();
-    ask.content = exchange::content_id( object.at( at++ ).get<std::int64_t>() );
+    request.priority = object.at( at++ ).get<int>();
+    request.may_be_refused = object.at( at++ ).get<bool>();
+    request.content =
+        exchange::content_id( object.at( at++ ).get<std::int64_t>() );
     for ( auto const& target : object.at( at++ ) )
-        ask.crashed_at.push_back( ref_from_json( target ) );
-    return ask;
+        request.crashed_at.push_back( ref_from_json( target ) );
+    return request;
 }
 
-auto answer_to_json( ask_answer const& a ) -> json
+auto answer_to_json( placement_answer const& a ) -> json
 {
     return json::array(
         { a.serial, static_cast<int>( a.decision ), parts_to_json( a.parts ),
@@ -145,9 +150,9 @@
           a.basis.limit_wait_ms, a.is_suspect } );
 }
 
-auto answer_from_json( json const& object ) -> ask_answer
+auto answer_from_json( json const& object ) -> placement_answer
 {
-    auto a = ask_answer{};
+    auto a = placement_answer{};
     a.serial = object.at( 0 ).get<std::uint64_t>();
     a.decision = static_cast<ask_decision>(
         std::clamp( object.at( 1 ).get<int>(), 0,
@@ -268,7 +273,7 @@
     list_ended,
     list_served,
     list_undecided,
-    list_asks,
+    list_placement_requests,
     list_answers,
     list_failed,
     list_ejected,
@@ -294,7 +299,8 @@
     add( list_ended, m.ended );
     add( list_served, m.served );
     add( list_undecided, m.undecided );
-    add( list_asks, list_to_json( m.asks, ask_to_json ) );
+    add( list_placement_requests,
+         list_to_json( m.placement_requests, placement_request_to_json ) );
     add( list_answers, list_to_json( m.answers, answer_to_json ) );
     add( list_failed, list_to_json( m.failed, failed_to_json ) );
     add( list_ejected, list_to_json( m.ejected, ejected_to_json ) );
@@ -327,8 +333,9 @@
     case list_undecided:
         m.undecided = list.get<serials>();
         return;
-    case list_asks:
-        return list_from_json( list, m.asks, ask_from_json );
+    case list_placement_requests:
+        return list_from_json( list, m.placement_requests,
+                               placement_request_from_json );
     case list_answers:
         return list_from_json( list, m.answers, answer_from_json );
     case list_failed:
--- a/src/pollenstream/peers/peer_message.hpp
+++ b/src/pollenstream/peers/peer_message.hpp
@@ -4,7 +4,7 @@
 #include <pollenstream/core/error.hpp>
 #include <pollenstream/core/ids.hpp>
 #include <pollenstream/exchange/load_table.hpp>
-#include <pollenstream/exchange/placer.hpp>
+#include <pollenstream/exchange/placement_client.hpp>
 #include <pollenstream/exchange/request_content.hpp>
 #include <pollenstream/ports/record_store.hpp>
 
@@ -67,7 +67,7 @@
 };
 
 /// Answer to an ask of the receiver.
-struct ask_answer
+struct placement_answer
 {
     std::uint64_t serial{ 0 };
     ask_decision decision{ ask_decision::queued };
@@ -103,8 +103,9 @@
     std::vector<std::uint64_t> served; ///< ended with the whole answer
     /// Asks of the sender that are not decided; where `complete`, all of them.
     std::vector<std::uint64_t> undecided;
-    std::vector<exchange::placement_ask> asks; ///< to the receiver
-    std::vector<ask_answer> answers;           ///< to the receiver
+    std::vector<exchange::placement_request>
+        placement_requests;                ///< to the receiver
+    std::vector<placement_answer> answers; ///< to the receiver
     std::vector<failed_target> failed;
     /// Targets that have said in answers that they leave.
     std::vector<exchange::target_ref> leaving_targets;
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -29,7 +29,7 @@
 
 struct placement_router::pending
 {
-    exchange::placement_ask ask;
+    exchange::placement_request request;
     std::shared_ptr<exchange::placement_listener> listener;
     core::instant made_at;
     core::instance_id asked;
@@ -39,7 +39,7 @@
     std::unique_ptr<ports::scheduled_call> timer;
 };
 
-class placement_router::handle : public exchange::open_ask
+class placement_router::handle : public exchange::open_placement
 {
 public:
     handle( placement_router& owner, pending_ptr which )
@@ -89,10 +89,10 @@
 class placement_router::remote_answer : public exchange::placement_listener
 {
 public:
-    remote_answer( ask_transport& transport,
-                   core::instance_id asker,
+    remote_answer( placement_transport& transport,
+                   core::instance_id requester,
                    std::uint64_t serial )
-        : transport_( transport ), asker_( std::move( asker ) )
+        : transport_( transport ), requester_( std::move( requester ) )
     {
         answer_.serial = serial;
     }
@@ -104,37 +104,37 @@
         answer_.needs_reservation = grant.choice.needs_reservation;
         answer_.basis = grant.choice.basis;
         answer_.is_suspect = grant.is_suspect;
-        transport_.send_answer( asker_, answer_ );
+        transport_.send_answer( requester_, answer_ );
     }
     auto on_refused( exchange::placement_refusal refusal ) -> void override
     {
         answer_.decision = ask_decision::refused;
         answer_.reason = std::move( refusal.reason );
         answer_.retry_after_ms = core::milliseconds_of( refusal.retry_after );
-        transport_.send_answer( asker_, answer_ );
+        transport_.send_answer( requester_, answer_ );
     }
     auto on_queued( std::size_t waiting ) -> void override
     {
         answer_.decision = ask_decision::queued;
         answer_.waiting = static_cast<std::int64_t>( waiting );
-        transport_.send_answer( asker_, answer_ );
+        transport_.send_answer( requester_, answer_ );
     }
     auto on_not_ready() -> void
     {
         answer_.decision = ask_decision::not_ready;
-        transport_.send_answer( asker_, answer_ );
+        transport_.send_answer( requester_, answer_ );
     }
 
 private:
-    ask_transport& transport_;
-    core::instance_id asker_;
-    ask_answer answer_;
+    placement_transport& transport_;
+    core::instance_id requester_;
+    placement_answer answer_;
 };
 
 placement_router::placement_router(
     core::instance_id self,
     ports::scheduler& scheduler,
-    ask_transport& transport,
+    placement_transport& transport,
     exchange::placement_coordinator& coordinator,
     exchange::load_table const& loads,
     std::function<std::uint64_t()> next_serial )
@@ -146,16 +146,16 @@
 
 placement_router::~placement_router() = default;
 
-auto placement_router::ask(
-    exchange::placement_ask what,
+auto placement_router::request(
+    exchange::placement_request what,
     std::shared_ptr<exchange::placement_listener> listener )
-    -> std::unique_ptr<exchange::open_ask>
+    -> std::unique_ptr<exchange::open_placement>
 {
     auto const which = std::make_shared<pending>();
-    which->ask = std::move( what );
+    which->request = std::move( what );
     which->listener = std::move( listener );
     which->made_at = scheduler_.now();
-    pending_.emplace( which->ask.serial, which );
+    pending_.emplace( which->request.serial, which );
     send( which );
     return std::make_unique<handle>( *this, which );
 }
@@ -187,7 +187,7 @@
 auto placement_router::send( pending_ptr const& which ) -> void
 {
     auto const next = next_coordinator( *which );
-    which->ask.demand.limits =
+    which->request.demand.limits =
         next ? exchange::limit_use::for_all : exchange::limit_use::unasked;
     if ( !next )
         counters_.own_choice.add();
@@ -197,7 +197,7 @@
     which->tried.insert( *next );
     which->is_answered = false;
     counters_.asked_others.add();
-    transport_.send_ask( *next, which->ask );
+    transport_.send_request( *next, which->request );
     arm( which, answer_time );
 }
 
@@ -206,8 +206,8 @@
     which->asked = self_;
     which->timer.reset();
     counters_.asked_self.add();
-    coordinator_.ask( which->ask,
-                      std::make_shared<local_answer>( *this, which ) );
+    coordinator_.request( which->request,
+                          std::make_shared<local_answer>( *this, which ) );
 }
 
 /// Asks another one under a new serial: the one before may grant the old one
@@ -215,12 +215,12 @@
 auto placement_router::send_next( pending_ptr const& which ) -> void
 {
     counters_.asked_next.add();
-    transport_.send_release( which->asked, which->ask.serial );
-    pending_.erase( which->ask.serial );
-    which->ask.serial = next_serial_();
-    pending_.emplace( which->ask.serial, which );
+    transport_.send_release( which->asked, which->request.serial );
+    pending_.erase( which->request.serial );
+    which->request.serial = next_serial_();
+    pending_.emplace( which->request.serial, which );
     auto const now = scheduler_.now();
-    auto& demand = which->ask.demand;
+    auto& demand = which->request.demand;
     auto const since = now - std::exchange( which->made_at, now );
     demand.waited += since;
     demand.time_left -= since;
@@ -246,7 +246,7 @@
     if ( which->is_answered )
     {
         which->is_answered = false;
-        transport_.send_ask( which->asked, which->ask );
+        transport_.send_request( which->asked, which->request );
         return arm( which, answer_time );
     }
     note_miss( which->asked );
@@ -258,7 +258,7 @@
 {
     which->is_open = false;
     which->timer.reset();
-    pending_.erase( which->ask.serial );
+    pending_.erase( which->request.serial );
 }
 
 auto placement_router::withdraw( pending_ptr const& which ) -> void
@@ -267,9 +267,9 @@
         return;
     close( which );
     if ( which->asked == self_ )
-        coordinator_.release( self_, which->ask.serial );
+        coordinator_.release( self_, which->request.serial );
     else
-        transport_.send_release( which->asked, which->ask.serial );
+        transport_.send_release( which->asked, which->request.serial );
 }
 
 auto placement_router::grant( pending_ptr const& which,
@@ -281,7 +281,7 @@
     listener->on_granted( std::move( grant ) );
 }
 
-auto placement_router::places_for_all() const -> bool
+auto placement_router::is_active_coordinator() const -> bool
 {
     auto const in_order = transport_.coordinators();
     return !in_order.empty() && in_order.front() == self_;
@@ -293,17 +293,17 @@
     coordinator_.release( self_, serial );
 }
 
-auto placement_router::on_ask( exchange::placement_ask ask ) -> void
+auto placement_router::on_request( exchange::placement_request request ) -> void
 {
-    auto const answer =
-        std::make_shared<remote_answer>( transport_, ask.asker, ask.serial );
-    if ( coordinator_.knows( ask.demand.service ) )
-        coordinator_.ask( std::move( ask ), answer );
+    auto const answer = std::make_shared<remote_answer>(
+        transport_, request.requester, request.serial );
+    if ( coordinator_.knows( request.demand.service ) )
+        coordinator_.request( std::move( request ), answer );
     else
         answer->on_not_ready();
 }
 
-auto placement_router::choice_of( ask_answer const& answer ) const
+auto placement_router::choice_of( placement_answer const& answer ) const
     -> exchange::placement_choice
 {
     auto choice = exchange::placement_choice{};
@@ -318,7 +318,7 @@
 }
 
 auto placement_router::on_answer( core::instance_id const& from,
-                                  ask_answer const& answer ) -> void
+                                  placement_answer const& answer ) -> void
 {
     silences_.erase( from );
     auto const found = pending_.find( answer.serial );
--- a/src/pollenstream/peers/placement_router.hpp
+++ b/src/pollenstream/peers/placement_router.hpp
@@ -2,9 +2,9 @@
 #define POLLENSTREAM_PEERS_PLACEMENT_ROUTER_HPP
 
 #include <pollenstream/core/counter.hpp>
+#include <pollenstream/exchange/placement_client.hpp>
 #include <pollenstream/exchange/placement_coordinator.hpp>
-#include <pollenstream/exchange/placer.hpp>
-#include <pollenstream/peers/ask_transport.hpp>
+#include <pollenstream/peers/placement_transport.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
 #include <cstdint>
@@ -31,13 +31,14 @@
 /// Asks one of the coordinators for targets, the next one where that does not
 /// answer, and this instance's own where none does: no request is refused
 /// because a coordinator is silent.
-class placement_router : public exchange::placer, public ask_handler
+class placement_router : public exchange::placement_client,
+                         public placement_handler
 {
 public:
     /// `next_serial` gives out serials of this instance's work.
     placement_router( core::instance_id self,
                       ports::scheduler& scheduler,
-                      ask_transport& transport,
+                      placement_transport& transport,
                       exchange::placement_coordinator& coordinator,
                       exchange::load_table const& loads,
                       std::function<std::uint64_t()> next_serial );
@@ -45,15 +46,15 @@
     placement_router( placement_router const& ) = delete;
     auto operator=( placement_router const& ) -> placement_router& = delete;
 
-    auto ask( exchange::placement_ask what,
-              std::shared_ptr<exchange::placement_listener> listener )
-        -> std::unique_ptr<exchange::open_ask> override;
-    [[nodiscard]] auto places_for_all() const -> bool override;
+    auto request( exchange::placement_request what,
+                  std::shared_ptr<exchange::placement_listener> listener )
+        -> std::unique_ptr<exchange::open_placement> override;
+    [[nodiscard]] auto is_active_coordinator() const -> bool override;
     auto release( std::uint64_t serial ) -> void override;
 
-    auto on_ask( exchange::placement_ask ask ) -> void override;
-    auto on_answer( core::instance_id const& from, ask_answer const& answer )
-        -> void override;
+    auto on_request( exchange::placement_request request ) -> void override;
+    auto on_answer( core::instance_id const& from,
+                    placement_answer const& answer ) -> void override;
     auto on_released( core::instance_id const& from, std::uint64_t serial )
         -> void override;
     auto on_open( core::instance_id const& from,
@@ -93,12 +94,12 @@
     auto withdraw( pending_ptr const& which ) -> void;
     auto grant( pending_ptr const& which, exchange::placement_grant grant )
         -> void;
-    auto choice_of( ask_answer const& answer ) const
+    auto choice_of( placement_answer const& answer ) const
         -> exchange::placement_choice;
 
     core::instance_id self_;
     ports::scheduler& scheduler_;
-    ask_transport& transport_;
+    placement_transport& transport_;
     exchange::placement_coordinator& coordinator_;
     exchange::load_table const& load_table_;
     std::function<std::uint64_t()> next_serial_;
--- a/src/pollenstream/peers/ask_transport.hpp
+++ b/src/pollenstream/peers/placement_transport.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_PEERS_ASK_TRANSPORT_HPP
-#define POLLENSTREAM_PEERS_ASK_TRANSPORT_HPP
+#ifndef POLLENSTREAM_PEERS_PLACEMENT_TRANSPORT_HPP
+#define POLLENSTREAM_PEERS_PLACEMENT_TRANSPORT_HPP
 
 #include <pollenstream/peers/peer_message.hpp>
 
@@ -12,31 +12,32 @@
 
 /// Carries asks for targets and their answers between instances. Both may be
 /// lost.
-class ask_transport
+class placement_transport
 {
 public:
-    virtual ~ask_transport() = default;
+    virtual ~placement_transport() = default;
     /// The instances that place prompts, the one to ask first in front.
     [[nodiscard]] virtual auto coordinators() const
         -> std::vector<core::instance_id> = 0;
-    virtual auto send_ask( core::instance_id const& to,
-                           exchange::placement_ask const& ask ) -> void = 0;
+    virtual auto send_request( core::instance_id const& to,
+                               exchange::placement_request const& request )
+        -> void = 0;
     virtual auto send_answer( core::instance_id const& to,
-                              ask_answer const& answer ) -> void = 0;
+                              placement_answer const& answer ) -> void = 0;
     /// An ask is withdrawn, or its grant is not taken.
     virtual auto send_release( core::instance_id const& to,
                                std::uint64_t serial ) -> void = 0;
 };
 
 /// Hears of asks and answers from other instances.
-class ask_handler
+class placement_handler
 {
 public:
-    virtual ~ask_handler() = default;
-    /// `ask.asker` is the sender.
-    virtual auto on_ask( exchange::placement_ask ask ) -> void = 0;
+    virtual ~placement_handler() = default;
+    /// `request.requester` is the sender.
+    virtual auto on_request( exchange::placement_request request ) -> void = 0;
     virtual auto on_answer( core::instance_id const& from,
-                            ask_answer const& answer ) -> void = 0;
+                            placement_answer const& answer ) -> void = 0;
     /// Work of `from` has ended, or an ask was withdrawn there.
     virtual auto on_released( core::instance_id const& from,
                               std::uint64_t serial ) -> void = 0;
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -432,10 +432,10 @@
 TEST_CASE( "a stream that goes on elsewhere waits for the answer to its ask",
            "[exchange][stream][repeat]" )
 {
-    auto asks = held_asks{};
-    auto f = exchange_fixture( asks );
+    auto placements = held_placements{};
+    auto f = exchange_fixture( placements );
     auto const open = f.start( f.request( "/chat/" ) );
-    REQUIRE( asks.all.size() == 1 );
+    REQUIRE( placements.all.size() == 1 );
     auto const grant = [&f]( std::uint64_t serial, char const* target )
     {
         auto granted = exchange::placement_grant{};
@@ -444,7 +444,8 @@
         granted.choice.parts = { { core::target_id( target ), 20, 6'000 } };
         return granted;
     };
-    asks.all[0].listener->on_granted( grant( asks.all[0].ask.serial, "m1" ) );
+    placements.all[0].listener->on_granted(
+        grant( placements.all[0].request.serial, "m1" ) );
     REQUIRE( f.targets.all.size() == 1 );
     f.targets.all[0]->head( 200 );
     for ( auto i = 0; i < 5; ++i )
@@ -454,10 +455,11 @@
     }
     // Three seconds are more than a caller waits for a first event.
     f.targets.all[0]->lose();
-    REQUIRE( asks.all.size() == 2 );
+    REQUIRE( placements.all.size() == 2 );
     f.scheduler.run( 5ms );
     CHECK_FALSE( f.answer->aborted );
-    asks.all[1].listener->on_granted( grant( asks.all[1].ask.serial, "m2" ) );
+    placements.all[1].listener->on_granted(
+        grant( placements.all[1].request.serial, "m2" ) );
     REQUIRE( f.targets.all.size() == 2 );
     f.targets.all[1]->head( 200 );
     f.targets.all[1]->event( 5 );
@@ -469,38 +471,38 @@
 TEST_CASE( "a grant that comes when nobody waits is given back",
            "[exchange][repeat]" )
 {
-    auto asks = held_asks{};
-    auto f = exchange_fixture( asks );
+    auto placements = held_placements{};
+    auto f = exchange_fixture( placements );
     auto const open = f.start( f.request( "/chat/" ) );
     open->on_caller_gone();
     auto late = exchange::placement_grant{};
-    late.serial = asks.all[0].ask.serial;
+    late.serial = placements.all[0].request.serial;
     late.choice.targets = { f.loads.find( core::target_id( "m1" ) ) };
     late.choice.parts = { { core::target_id( "m1" ), 20, 6'000 } };
-    asks.all[0].listener->on_granted( late );
+    placements.all[0].listener->on_granted( late );
     CHECK( f.targets.all.empty() );
-    CHECK( asks.released == std::vector<std::uint64_t>{ late.serial } );
+    CHECK( placements.released == std::vector<std::uint64_t>{ late.serial } );
 }
 
 TEST_CASE( "a target that is granted and has begun to leave is not used",
            "[exchange][leaving]" )
 {
-    auto asks = held_asks{};
-    auto f = exchange_fixture( asks );
+    auto placements = held_placements{};
+    auto f = exchange_fixture( placements );
     auto const open = f.start( f.request( "/chat/" ) );
     auto leaving = make_target( "m1", "model" );
     leaving.leaving = true;
     f.loads.put( leaving );
     auto granted = exchange::placement_grant{};
-    granted.serial = asks.all[0].ask.serial;
+    granted.serial = placements.all[0].request.serial;
     granted.choice.targets = { f.loads.find( core::target_id( "m1" ) ) };
     granted.choice.parts = { { core::target_id( "m1" ), 20, 6'000 } };
-    asks.all[0].listener->on_granted( granted );
+    placements.all[0].listener->on_granted( granted );
     CHECK( f.targets.all.empty() );
-    CHECK( asks.released.size() == 1 );
+    CHECK( placements.released.size() == 1 );
     f.scheduler.run( 100ms );
-    REQUIRE( asks.all.size() == 2 );
-    CHECK( asks.all[1].ask.demand.tried ==
+    REQUIRE( placements.all.size() == 2 );
+    CHECK( placements.all[1].request.demand.tried ==
            std::vector<core::target_id>{ core::target_id( "m1" ) } );
     open->on_caller_gone();
 }
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -22,15 +22,15 @@
             loads.put( make_target( "e" + std::to_string( i ), "model" ) );
     }
 
-    auto ask( std::string const& asker,
-              std::uint64_t serial,
-              std::int64_t tokens,
-              exchange::content_id content = {} )
+    auto request( std::string const& requester,
+                  std::uint64_t serial,
+                  std::int64_t tokens,
+                  exchange::content_id content = {} )
         -> std::shared_ptr<recorded_placement>
     {
-        auto what = exchange::placement_ask{};
+        auto what = exchange::placement_request{};
         what.content = content;
-        what.asker = core::instance_id( asker );
+        what.requester = core::instance_id( requester );
         what.serial = serial;
         what.demand.service = core::service_id( "model" );
         what.demand.prompt_tokens = tokens;
@@ -42,14 +42,14 @@
         what.demand.time_left = 15s;
         what.demand.patience_left = 12s;
         auto const answer = std::make_shared<recorded_placement>();
-        coordinator.ask( std::move( what ), answer );
+        coordinator.request( std::move( what ), answer );
         return answer;
     }
     /// As much as one engine reads within the longest time that a prompt may
     /// take behind others.
     auto fill_one_engine() -> void
     {
-        REQUIRE( ask( "a", 1, 60'000 )->grants.size() == 1 );
+        REQUIRE( request( "a", 1, 60'000 )->grants.size() == 1 );
     }
     auto total_memory() const -> std::int64_t
     {
@@ -78,7 +78,7 @@
     auto granted = 0;
     for ( auto n = 0; n < 5; ++n )
     {
-        auto const answer = f.ask( "n" + std::to_string( n ), 1, 100'000 );
+        auto const answer = f.request( "n" + std::to_string( n ), 1, 100'000 );
         for ( auto const& grant : answer->grants )
         {
             ++granted;
@@ -99,9 +99,9 @@
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
-    auto const second = f.ask( "b", 1, 60'000 );
+    auto const second = f.request( "b", 1, 60'000 );
     f.scheduler.run( 20ms );
-    auto const third = f.ask( "c", 1, 60'000 );
+    auto const third = f.request( "c", 1, 60'000 );
     CHECK( second->queued == 1 );
     CHECK( third->queued == 1 );
     for ( auto i = 0; i < 100 && second->grants.empty(); ++i )
@@ -116,25 +116,25 @@
            "[coordinator]" )
 {
     auto f = coordinator_fixture( 2 );
-    auto const first = f.ask( "a", 7, 5'000 );
+    auto const first = f.request( "a", 7, 5'000 );
     REQUIRE( first->grants.size() == 1 );
     auto const memory = f.total_memory();
-    auto const again = f.ask( "a", 7, 5'000 );
+    auto const again = f.request( "a", 7, 5'000 );
     REQUIRE( again->grants.size() == 1 );
     CHECK( again->grants[0].choice.parts[0].target ==
            first->grants[0].choice.parts[0].target );
     CHECK( f.total_memory() == memory );
     // The same number of another asker is another ask.
-    f.ask( "b", 7, 5'000 );
+    f.request( "b", 7, 5'000 );
     CHECK( f.total_memory() > memory );
 }
 
 TEST_CASE( "no grant outlives its asker", "[coordinator]" )
 {
     auto f = coordinator_fixture( 4 );
-    f.ask( "a", 1, 5'000 );
-    f.ask( "a", 2, 5'000 );
-    f.ask( "b", 1, 5'000 );
+    f.request( "a", 1, 5'000 );
+    f.request( "a", 2, 5'000 );
+    f.request( "b", 1, 5'000 );
     auto const all = f.total_memory();
     SECTION( "one that ends by itself" )
     {
@@ -159,7 +159,7 @@
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
-    auto const waits = f.ask( "b", 1, 60'000 );
+    auto const waits = f.request( "b", 1, 60'000 );
     REQUIRE( f.coordinator.waiting() == 1 );
     f.coordinator.forget( core::instance_id( "b" ) );
     CHECK( f.coordinator.waiting() == 0 );
@@ -176,7 +176,7 @@
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
     f.loads.find( core::target_id( "e0" ) )->properties.leaving = true;
-    auto const waits = f.ask( "b", 1, 60'000 );
+    auto const waits = f.request( "b", 1, 60'000 );
     f.scheduler.run( 13s );
     CHECK( f.coordinator.waiting() == 0 );
     CHECK( waits->grants.empty() );
@@ -187,7 +187,7 @@
 {
     auto f = coordinator_fixture( 1 );
     f.coordinator.set_configuration( nullptr );
-    auto const answer = f.ask( "a", 1, 5'000 );
+    auto const answer = f.request( "a", 1, 5'000 );
     REQUIRE( answer->refusals.size() == 1 );
     CHECK( answer->refusals[0].reason == "unknown_service" );
 }
@@ -197,12 +197,12 @@
 {
     auto f = coordinator_fixture( 1 );
     auto serial = std::uint64_t{ 0 };
-    while ( f.ask( "a", ++serial, 5'000 )->grants.size() == 1 )
+    while ( f.request( "a", ++serial, 5'000 )->grants.size() == 1 )
     {
     }
     f.coordinator.release( core::instance_id( "a" ), serial );
-    auto repeat = exchange::placement_ask{};
-    repeat.asker = core::instance_id( "b" );
+    auto repeat = exchange::placement_request{};
+    repeat.requester = core::instance_id( "b" );
     repeat.serial = 1;
     repeat.demand.service = core::service_id( "model" );
     repeat.demand.prompt_tokens = 1'000;
@@ -222,8 +222,8 @@
         repeat.demand.paused.push_back( core::target_id( "e0" ) );
     }
     auto const kept_away = std::make_shared<recorded_placement>();
-    f.coordinator.ask( repeat, kept_away );
-    auto const other = f.ask( "c", 1, 5'000 );
+    f.coordinator.request( repeat, kept_away );
+    auto const other = f.request( "c", 1, 5'000 );
     REQUIRE( other->grants.empty() );
     f.coordinator.release( core::instance_id( "a" ), 1 );
     f.room.poke();
@@ -243,15 +243,15 @@
     };
     crash( "x1" );
     crash( "x2" );
-    auto const first = f.ask( "a", 1, 5'000, content );
+    auto const first = f.request( "a", 1, 5'000, content );
     REQUIRE( first->grants.size() == 1 );
     CHECK( first->grants[0].is_suspect );
 
     // One run at a time until it is known what it does; others go on.
-    auto const second = f.ask( "b", 1, 5'000, content );
+    auto const second = f.request( "b", 1, 5'000, content );
     CHECK( second->grants.empty() );
-    CHECK( f.ask( "b", 2, 5'000 )->grants.size() == 1 );
-    auto const other = f.ask( "c", 1, 5'000, exchange::content_id( 8 ) );
+    CHECK( f.request( "b", 2, 5'000 )->grants.size() == 1 );
+    auto const other = f.request( "c", 1, 5'000, exchange::content_id( 8 ) );
     REQUIRE( other->grants.size() == 1 );
     CHECK_FALSE( other->grants[0].is_suspect );
 
@@ -267,7 +267,7 @@
         f.scheduler.run( 30ms );
         REQUIRE( second->refusals.size() == 1 );
         CHECK( second->refusals[0].retry_after == 0ms );
-        CHECK( f.ask( "c", 2, 5'000, content )->refusals.size() == 1 );
+        CHECK( f.request( "c", 2, 5'000, content )->refusals.size() == 1 );
     }
     SECTION( "its run is served" )
     {
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -234,7 +234,7 @@
     auto floor = engine_floor{};
     auto const result = floor.choose( 16 * 450'000, 800ms );
     CHECK_FALSE( result.choice );
-    CHECK( result.reason == exchange::no_choice::too_large );
+    CHECK( result.reason == exchange::placement_obstacle::too_large );
 }
 
 TEST_CASE( "leaving and shunned targets are passed over", "[placement]" )
@@ -257,7 +257,7 @@
     f.loads.mark_gone( core::target_id( "p1" ) );
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     CHECK_FALSE( result.choice );
-    CHECK( result.reason == exchange::no_choice::no_targets );
+    CHECK( result.reason == exchange::placement_obstacle::no_targets );
 }
 
 /// Ten seconds of the users' mix over a floor whose engines behave as the model
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -36,12 +36,12 @@
     SECTION( "where another place is refused" )
     {
         s.fall_silent();
-        REQUIRE( s.asks.all.size() == 2 );
-        s.asks.all[1].listener->on_refused( { "too_large", 0ms } );
+        REQUIRE( s.placements.all.size() == 2 );
+        s.placements.all[1].listener->on_refused( { "too_large", 0ms } );
     }
     SECTION( "where its content is quarantined" )
     {
-        auto const content = s.asks.all[0].ask.content;
+        auto const content = s.placements.all[0].request.content;
         for ( auto const* id : { "e1", "e2", "e3" } )
             s.f.crashes.note_crash( { content,
                                       { core::target_id( id ), {} },
@@ -86,7 +86,7 @@
     s.first().head( 200 );
     s.first().event( 1 );
     s.first().lose();
-    REQUIRE( s.asks.all.size() == 2 );
+    REQUIRE( s.placements.all.size() == 2 );
     s.f.scheduler.run( 4s );
     CHECK_FALSE( s.f.answer->aborted );
     s.grant( "m2" );
@@ -220,11 +220,11 @@
 {
     auto s = held_stream{};
     s.fall_silent();
-    REQUIRE( s.asks.all.size() == 2 );
+    REQUIRE( s.placements.all.size() == 2 );
     s.first().event( 3 );
     s.grant( "m2" );
     CHECK( s.f.targets.all.size() == 1 );
-    CHECK( s.asks.released.size() == 1 );
+    CHECK( s.placements.released.size() == 1 );
     s.first().complete();
     CHECK( s.f.answer->ended );
 }
@@ -235,13 +235,13 @@
 {
     auto s = held_stream{};
     s.fall_silent();
-    REQUIRE( s.asks.all.size() == 2 );
+    REQUIRE( s.placements.all.size() == 2 );
     auto granted = exchange::placement_grant{};
-    granted.serial = s.asks.all[1].ask.serial;
+    granted.serial = s.placements.all[1].request.serial;
     granted.choice.targets = { s.f.loads.find( core::target_id( "m2" ) ) };
     granted.choice.parts = { { core::target_id( "m2" ), 20, 6'000 } };
     granted.choice.needs_reservation = true;
-    s.asks.all[1].listener->on_granted( granted );
+    s.placements.all[1].listener->on_granted( granted );
     REQUIRE( s.f.reservations.reserved.size() == 1 );
     s.first().event( 3 );
     s.f.reservations.reserved[0].callback( core::success() );
@@ -285,7 +285,7 @@
 {
     auto s = held_stream{};
     s.f.scheduler.run( 1'500ms );
-    REQUIRE( s.asks.all.size() == 2 );
+    REQUIRE( s.placements.all.size() == 2 );
     SECTION( "at the end of its patience" )
     {
         s.first().lose();
@@ -310,13 +310,13 @@
     // One repeat for this instance, whatever is asked for.
     s.f.retries.set_allowance( { 0, 1.4, 10s } );
     s.fall_silent();
-    REQUIRE( s.asks.all.size() == 2 );
+    REQUIRE( s.placements.all.size() == 2 );
     SECTION( "not before, so that others may use it" )
     {
         CHECK( s.f.retries.take( model, s.f.scheduler.now() ) );
         s.grant( "m2" );
         CHECK( s.f.targets.all.size() == 1 );
-        CHECK( s.asks.released.size() == 1 );
+        CHECK( s.placements.released.size() == 1 );
         CHECK_FALSE( s.first().cancelled );
     }
     SECTION( "not where it was not needed" )
@@ -343,7 +343,7 @@
     s.f.scheduler.run( 8'880ms );
     s.grant( "m2" );
     CHECK( s.f.targets.all.size() == 1 );
-    CHECK( s.asks.released.size() == 1 );
+    CHECK( s.placements.released.size() == 1 );
 }
 
 TEST_CASE( "each target reached beyond the first counts as one repeat",
@@ -395,7 +395,7 @@
     s.first().lose();
     for ( auto i = std::size_t{ 1 }; i <= 6; ++i )
     {
-        REQUIRE( s.asks.all.size() == i + 1 );
+        REQUIRE( s.placements.all.size() == i + 1 );
         s.grant( i % 2 == 0 ? "m2" : "m3" );
         REQUIRE( s.f.targets.all.size() == i + 1 );
         s.at( i ).lose( false );
@@ -416,7 +416,7 @@
 {
     auto s = held_stream{};
     s.fall_silent();
-    auto const content = s.asks.all[0].ask.content;
+    auto const content = s.placements.all[0].request.content;
     SECTION( "while the other place reads" )
     {
         s.grant( "m2" );
@@ -444,7 +444,7 @@
     s.grant( "m2" );
     REQUIRE( s.f.targets.all.size() == 2 );
     s.f.scheduler.run( 3s );
-    CHECK( s.asks.all.size() == 2 );
+    CHECK( s.placements.all.size() == 2 );
     SECTION( "the first one speaks" )
     {
         s.first().event( 3 );
@@ -460,7 +460,7 @@
     {
         s.first().lose();
         s.f.scheduler.run( longer_than_tolerated );
-        REQUIRE( s.asks.all.size() == 3 );
+        REQUIRE( s.placements.all.size() == 3 );
         s.grant( "m3" );
         REQUIRE( s.f.targets.all.size() == 3 );
         s.at( 2 ).head( 200 );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -91,7 +91,8 @@
 
 exchange_fixture::exchange_fixture() : exchange_fixture( router ) {}
 
-exchange_fixture::exchange_fixture( exchange::placer& placer )
+exchange_fixture::exchange_fixture(
+    exchange::placement_client& placement_client )
     : context{ .scheduler = scheduler,
                .targets = targets,
                .speller = speller,
@@ -99,7 +100,7 @@
                .loads = loads,
                .crashes = crashes,
                .chooser = chooser,
-               .asks = placer,
+               .placements = placement_client,
                .retries = retries,
                .room = room,
                .log = log,
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -271,7 +271,7 @@
 };
 
 /// An instance that is the only one.
-class no_other_instances : public peers::ask_transport
+class no_other_instances : public peers::placement_transport
 {
 public:
     [[nodiscard]] auto coordinators() const
@@ -279,11 +279,11 @@
     {
         return { core::instance_id( "self" ) };
     }
-    auto send_ask( core::instance_id const&, exchange::placement_ask const& )
-        -> void override
+    auto send_request( core::instance_id const&,
+                       exchange::placement_request const& ) -> void override
     {
     }
-    auto send_answer( core::instance_id const&, peers::ask_answer const& )
+    auto send_answer( core::instance_id const&, peers::placement_answer const& )
         -> void override
     {
     }
@@ -337,23 +337,23 @@
 };
 
 /// Keeps what is asked for; a test answers when it likes.
-class held_asks : public exchange::placer
+class held_placements : public exchange::placement_client
 {
 public:
     struct held
     {
-        exchange::placement_ask ask;
+        exchange::placement_request request;
         std::shared_ptr<exchange::placement_listener> listener;
     };
 
-    auto ask( exchange::placement_ask what,
-              std::shared_ptr<exchange::placement_listener> listener )
-        -> std::unique_ptr<exchange::open_ask> override
+    auto request( exchange::placement_request what,
+                  std::shared_ptr<exchange::placement_listener> listener )
+        -> std::unique_ptr<exchange::open_placement> override
     {
         all.push_back( { std::move( what ), std::move( listener ) } );
-        return std::make_unique<exchange::open_ask>();
+        return std::make_unique<exchange::open_placement>();
     }
-    [[nodiscard]] auto places_for_all() const -> bool override
+    [[nodiscard]] auto is_active_coordinator() const -> bool override
     {
         return false;
     }
@@ -370,8 +370,8 @@
 struct exchange_fixture
 {
     exchange_fixture();
-    /// Asks go to `placer` instead of the instance's own coordinator.
-    explicit exchange_fixture( exchange::placer& placer );
+    /// Asks go to `placement_client` instead of the instance's own coordinator.
+    explicit exchange_fixture( exchange::placement_client& placement_client );
 
     /// A request on the route of `path`, as a caller sends it.
     auto request( std::string const& path ) -> exchange::caller_request;
--- a/tests/support/held_stream.hpp
+++ b/tests/support/held_stream.hpp
@@ -17,7 +17,7 @@
 struct held_stream
 {
     /// `max_targets`: what the route allows.
-    explicit held_stream( std::int64_t max_targets = 2 ) : f( asks )
+    explicit held_stream( std::int64_t max_targets = 2 ) : f( placements )
     {
         auto changed = std::make_shared<exchange::route_configuration>(
             *f.context.configuration );
@@ -37,9 +37,9 @@
     /// Answers the last ask.
     auto grant( char const* target ) -> void
     {
-        auto const& last = asks.all.back();
+        auto const& last = placements.all.back();
         auto granted = exchange::placement_grant{};
-        granted.serial = last.ask.serial;
+        granted.serial = last.request.serial;
         granted.choice.targets = { f.loads.find( core::target_id( target ) ) };
         granted.choice.parts = { { core::target_id( target ), 20, 6'000 } };
         last.listener->on_granted( granted );
@@ -61,7 +61,7 @@
         f.scheduler.run( longer_than_tolerated );
     }
 
-    held_asks asks;
+    held_placements placements;
     exchange_fixture f;
     std::shared_ptr<exchange::exchange> open;
 };
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -243,7 +243,7 @@
                                                .loads = fixture.loads,
                                                .crashes = fixture.crashes,
                                                .chooser = fixture.chooser,
-                                               .asks = fixture.router,
+                                               .placements = fixture.router,
                                                .retries = fixture.retries,
                                                .room = fixture.room,
                                                .log = fixture.log,
