--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -84,7 +84,7 @@
       placement_( load_table_, settings_.data_centre ),
       retries_( { settings_.retry_ratio, settings_.retry_constant,
                   settings_.retry_window } ),
-      room_( scheduler_ ), datagrams_( io, settings_.peers ),
+      wait_queue_( scheduler_ ), datagrams_( io, settings_.peers ),
       group_( own_state_of( settings_ ),
               settings_.seed_ips,
               scheduler_,
@@ -97,7 +97,7 @@
                     load_table_,
                     crashes_,
                     placement_,
-                    room_,
+                    wait_queue_,
                     log_ ),
       router_( settings_.instance,
                scheduler_,
@@ -171,7 +171,7 @@
         .chooser = placement_,
         .placements = router_,
         .retries = retries_,
-        .room = room_,
+        .queue = wait_queue_,
         .log = log_,
         .announcer = group_,
         .self = settings_.instance,
@@ -196,7 +196,7 @@
         coordinator_.set_configuration( configuration );
         context_.configuration = std::move( configuration );
         update_ready();
-        room_.poke();
+        wait_queue_.poke();
     };
     events.on_target_left = []( auto const& ) {};
     events.on_quarantine = [this]( auto const& key, auto const& value )
@@ -222,7 +222,7 @@
     };
     events.on_targets_changed = [this]
     {
-        room_.poke();
+        wait_queue_.poke();
     };
     events.on_instance = [this]( auto const&, auto const& ip )
     {
@@ -250,7 +250,7 @@
     group_.set_ask_handler( router_ );
     group_.on_load_changed = [this]
     {
-        room_.poke();
+        wait_queue_.poke();
     };
     group_.on_update = [this]( auto const& from, auto const& bytes )
     {
--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -81,7 +81,7 @@
     exchange::crash_history crashes_;
     exchange::placement placement_;
     exchange::shared_retry_budget retries_;
-    exchange::waiting_room room_;
+    exchange::wait_queue wait_queue_;
     adapters::asio::datagram_socket datagrams_;
     peers::peer_group group_;
     exchange::placement_coordinator coordinator_;
--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -129,7 +129,7 @@
               { "configuration", version },
               { "stopping", context.stop.has_value() },
               { "open_requests", context.open.size() },
-              { "waiting_requests", context.room.size() },
+              { "waiting_requests", context.queue.size() },
               { "store",
                 { { "serves", registry.store_serves() },
                   { "known_until", registry.known_until().count() },
@@ -152,7 +152,7 @@
     auto const version =
         context.configuration ? context.configuration->version.count() : 0;
     gauge( "pollenstream_open_requests", context.open.size() );
-    gauge( "pollenstream_waiting_requests", context.room.size() );
+    gauge( "pollenstream_waiting_requests", context.queue.size() );
     gauge( "pollenstream_configuration_version", version );
     gauge( "pollenstream_store_known_until", registry.known_until().count() );
     gauge( "pollenstream_instances", group.size() );
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -12,7 +12,7 @@
 #include <pollenstream/exchange/reservation.hpp>
 #include <pollenstream/exchange/routes.hpp>
 #include <pollenstream/exchange/shared_retry_budget.hpp>
-#include <pollenstream/exchange/waiting_room.hpp>
+#include <pollenstream/exchange/wait_queue.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
 #include <cstdint>
@@ -92,7 +92,7 @@
     placement& chooser;           ///< for what this instance places by itself
     placement_client& placements; ///< gets targets for prompts
     shared_retry_budget& retries;
-    waiting_room& room;
+    wait_queue& queue;
     event_log& log;
     work_announcer& announcer;
     core::instance_id self;
--- a/src/pollenstream/exchange/engine_room.cpp
+++ b/src/pollenstream/exchange/engine_capacity.cpp
@@ -1,4 +1,4 @@
-#include <pollenstream/exchange/engine_room.hpp>
+#include <pollenstream/exchange/engine_capacity.hpp>
 
 namespace pollenstream::exchange
 {
--- a/src/pollenstream/exchange/engine_room.hpp
+++ b/src/pollenstream/exchange/engine_capacity.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_ENGINE_ROOM_HPP
-#define POLLENSTREAM_EXCHANGE_ENGINE_ROOM_HPP
+#ifndef POLLENSTREAM_EXCHANGE_ENGINE_CAPACITY_HPP
+#define POLLENSTREAM_EXCHANGE_ENGINE_CAPACITY_HPP
 
 #include <pollenstream/exchange/engine_model.hpp>
 #include <pollenstream/exchange/load_table.hpp>
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -132,7 +132,7 @@
 /// refusal then would cost the caller one of its few tries.
 auto exchange::wait_for_configuration() -> void
 {
-    shared_.room.add( shared_from_this() );
+    shared_.queue.add( shared_from_this() );
     patience_call_ = shared_.scheduler.call_after(
         longest_wait_for_configuration,
         [this]
@@ -395,7 +395,7 @@
         route_ != nullptr ? route_->id.str() : "", reason,
         now - request_.received, retry_after.value_or( core::duration( 0 ) ),
         configuration_ ? configuration_->version : core::revision{},
-        demand_.prompt_tokens, shared_.room.size() } );
+        demand_.prompt_tokens, shared_.queue.size() } );
     close_all();
     answer_->send_whole( std::move( answer ) );
     shared_.counters.refused.add();
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -17,7 +17,8 @@
 /// One caller's request from its arrival to its last word: placed, sent, sent
 /// again where that is allowed, relayed. It keeps itself alive through the
 /// calls that it waits for and ends exactly once.
-class exchange : public waiter, public std::enable_shared_from_this<exchange>
+class exchange : public waiting_item,
+                 public std::enable_shared_from_this<exchange>
 {
 public:
     exchange( exchange_context& shared,
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -264,7 +264,7 @@
     if ( gone.memory )
         gone.memory->release();
     release( gone.serial, outcome );
-    shared_.room.poke();
+    shared_.queue.poke();
 }
 
 }
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -280,13 +280,13 @@
 auto exchange::stop_looking() -> void
 {
     stop_waiting();
-    shared_.room.remove( this );
+    shared_.queue.remove( this );
     reserving_.reset();
 }
 
 auto exchange::wait_for_room() -> void
 {
-    shared_.room.add( shared_from_this() );
+    shared_.queue.add( shared_from_this() );
     begin_waiting();
 }
 
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -1,4 +1,4 @@
-#include <pollenstream/exchange/engine_room.hpp>
+#include <pollenstream/exchange/engine_capacity.hpp>
 #include <pollenstream/exchange/placement.hpp>
 
 #include <algorithm>
@@ -62,9 +62,10 @@
 }
 
 /// True where long prompts wait, or take many of the engines.
-auto long_ones_press( placement_demand const& demand,
-                      std::vector<std::shared_ptr<target_entry>> const& targets,
-                      core::instant now ) -> bool
+auto long_prompts_dominate(
+    placement_demand const& demand,
+    std::vector<std::shared_ptr<target_entry>> const& targets,
+    core::instant now ) -> bool
 {
     if ( demand.others_in_time )
         return true;
@@ -83,7 +84,7 @@
 {
     std::shared_ptr<target_entry> target;
     double first_ms{ 0 }; ///< predicted first event, from now
-    double room{ 0 };     ///< requests that it may still take
+    double capacity{ 0 }; ///< requests that it may still take
     /// Short prompts that it may read at once, this one included, before the
     /// first event of one is late.
     double joins{ 0 };
@@ -161,11 +162,11 @@
 {
     auto total = 0.0;
     for ( auto const& o : options )
-        total += o.room;
+        total += o.capacity;
     auto left = draw * total;
     for ( auto const& o : options )
     {
-        left -= o.room;
+        left -= o.capacity;
         if ( left < 0 )
             return o;
     }
@@ -208,22 +209,24 @@
     return found;
 }
 
-auto placement::room_by_limits( placement_demand const& demand ) const
-    -> std::optional<limited_room>
+auto placement::capacity_by_limits( placement_demand const& demand ) const
+    -> std::optional<limited_capacity>
 {
-    auto room = limited_room{ core::instant::max(), 0 };
+    auto capacity = limited_capacity{ core::instant::max(), 0 };
     for ( auto const& t : load_table_.of_service( demand.service ) )
     {
         if ( !t->limit.per_second() || !is_left( demand, *t ) )
             continue;
-        room.first = std::min(
-            room.first, t->limit.next( demand.limits, load_table_.shares() ) );
-        room.per_second += t->limit.rate( demand.limits, load_table_.shares() );
+        capacity.first =
+            std::min( capacity.first,
+                      t->limit.next( demand.limits, load_table_.shares() ) );
+        capacity.per_second +=
+            t->limit.rate( demand.limits, load_table_.shares() );
     }
-    return room.per_second > 0 ? std::optional( room ) : std::nullopt;
+    return capacity.per_second > 0 ? std::optional( capacity ) : std::nullopt;
 }
 
-auto limited_room::behind( std::size_t ahead ) const -> core::instant
+auto limited_capacity::behind( std::size_t ahead ) const -> core::instant
 {
     return first +
            core::duration_of( static_cast<double>( ahead ) / per_second );
@@ -411,10 +414,10 @@
     auto const window = std::max(
         least_spread, load_table_.arrivals_per_second( demand.service, now ) *
                           unseen_seconds );
-    auto const pressing = long_ones_press( demand, targets, now );
+    auto const pressing = long_prompts_dominate( demand, targets, now );
     auto preferred = std::vector<short_option>{};
     auto others = std::vector<short_option>{};
-    auto room = 0.0;
+    auto capacity = 0.0;
     for ( auto const& t : targets )
     {
         if ( !has_slot( speed, *t ) || free_memory( speed, *t ) < memory )
@@ -425,16 +428,16 @@
         if ( t->load.requests < packed && pass < longest_pass &&
              ( pressing || option.joins >= 1 ) )
         {
-            auto const most = pressing ? window - room : option.joins;
-            option.room = std::min( room_of( *t, packed ), most );
-            room += option.room;
+            auto const most = pressing ? window - capacity : option.joins;
+            option.capacity = std::min( room_of( *t, packed ), most );
+            capacity += option.capacity;
             preferred.push_back( std::move( option ) );
-            if ( room >= window )
+            if ( capacity >= window )
                 break;
         }
         else
         {
-            option.room = room_of( *t, speed.slots );
+            option.capacity = room_of( *t, speed.slots );
             others.push_back( std::move( option ) );
         }
     }
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -108,7 +108,7 @@
 };
 
 /// When the targets that are left have room by their limits, and how fast.
-struct limited_room
+struct limited_capacity
 {
     core::instant first; ///< for one request
     double per_second{ 0 };
@@ -130,8 +130,9 @@
 
     /// Room by the limits of the targets that are left for `demand`; nothing
     /// where none of them names one.
-    [[nodiscard]] auto room_by_limits( placement_demand const& demand ) const
-        -> std::optional<limited_room>;
+    [[nodiscard]] auto
+    capacity_by_limits( placement_demand const& demand ) const
+        -> std::optional<limited_capacity>;
 
     /// True where the prompt cannot have its first event in time any more, even
     /// with as many engines as one prompt may take.
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -24,7 +24,7 @@
 }
 
 /// One ask that waits here for room.
-class placement_coordinator::queued_prompt : public waiter
+class placement_coordinator::queued_prompt : public waiting_item
 {
 public:
     queued_prompt( placement_coordinator& owner,
@@ -205,17 +205,17 @@
 auto placement_coordinator::queued_prompt::wait_for_limit( core::instant now )
     -> bool
 {
-    auto const room = owner_.chooser_.room_by_limits( request.demand );
+    auto const capacity = owner_.chooser_.capacity_by_limits( request.demand );
     auto const ahead = owner_.waiting_before( *this );
     auto const is_first_try = !limited_since_;
     limited_since_ = limited_since_.value_or( now );
-    if ( !room || !request.may_be_refused )
+    if ( !capacity || !request.may_be_refused )
         return false;
     auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
-    if ( room->behind( ahead ) <= latest )
+    if ( capacity->behind( ahead ) <= latest )
         return false;
     owner_.counters_.limited.add();
-    return refuse( limited_reason, owner_.time_to_return( *this, *room ) );
+    return refuse( limited_reason, owner_.time_to_return( *this, *capacity ) );
 }
 
 /// True for a wide prompt that cannot be in time any more while others wait
@@ -300,12 +300,12 @@
                                               load_table& loads,
                                               crash_history& crashes,
                                               placement& chooser,
-                                              waiting_room& room,
+                                              wait_queue& queue,
                                               event_log& log )
     : self_( std::move( self ) ), scheduler_( scheduler ), load_table_( loads ),
-      crashes_( crashes ), chooser_( chooser ), room_( room ), log_( log ),
-      random_( static_cast<std::uint32_t>(
-          std::hash<std::string>{}( self_.str() ) ) )
+      crashes_( crashes ), chooser_( chooser ), wait_queue_( queue ),
+      log_( log ), random_( static_cast<std::uint32_t>(
+                       std::hash<std::string>{}( self_.str() ) ) )
 {
 }
 
@@ -355,15 +355,15 @@
 /// them, behind those that wait. A moment that is past a caller's time is only
 /// told, and kept for others.
 auto placement_coordinator::time_to_return( queued_prompt const& who,
-                                            limited_room const& room )
+                                            limited_capacity const& capacity )
     -> core::duration
 {
     auto const& demand = who.request.demand;
     auto const now = scheduler_.now();
     auto& last = returns_[demand.service];
-    auto const next = last + core::duration_of( 1 / room.per_second );
+    auto const next = last + core::duration_of( 1 / capacity.per_second );
     auto const at =
-        std::max( { now, room.behind( others_waiting( who ) ), next } );
+        std::max( { now, capacity.behind( others_waiting( who ) ), next } );
     if ( at - now < demand.time_left )
         last = at;
     return std::max( at - now, shortest_return );
@@ -454,7 +454,7 @@
     waiting_.emplace( name, who );
     if ( who->try_start() )
         return;
-    room_.add( who );
+    wait_queue_.add( who );
     who->wait();
 }
 
@@ -468,7 +468,7 @@
         auto const who = found->second;
         waiting_.erase( found );
         who->close();
-        room_.remove( who.get() );
+        wait_queue_.remove( who.get() );
     }
     granted_.erase( name );
     load_table_.end_work( requester, serial, scheduler_.now() );
--- a/src/pollenstream/exchange/placement_coordinator.hpp
+++ b/src/pollenstream/exchange/placement_coordinator.hpp
@@ -7,7 +7,7 @@
 #include <pollenstream/exchange/load_table.hpp>
 #include <pollenstream/exchange/placement_client.hpp>
 #include <pollenstream/exchange/routes.hpp>
-#include <pollenstream/exchange/waiting_room.hpp>
+#include <pollenstream/exchange/wait_queue.hpp>
 #include <pollenstream/ports/scheduler.hpp>
 
 #include <cstdint>
@@ -45,7 +45,7 @@
                            load_table& loads,
                            crash_history& crashes,
                            placement& chooser,
-                           waiting_room& room,
+                           wait_queue& queue,
                            event_log& log );
     ~placement_coordinator();
     placement_coordinator( placement_coordinator const& ) = delete;
@@ -102,7 +102,7 @@
     [[nodiscard]] auto waiting_before( queued_prompt const& who ) const
         -> std::size_t;
     [[nodiscard]] auto time_to_return( queued_prompt const& who,
-                                       limited_room const& room )
+                                       limited_capacity const& capacity )
         -> core::duration;
     auto grant( queued_prompt const& who, placement_choice choice ) -> void;
     auto add_work( queued_prompt const& who, placement_choice const& choice )
@@ -113,7 +113,7 @@
     load_table& load_table_;
     crash_history& crashes_;
     placement& chooser_;
-    waiting_room& room_;
+    wait_queue& wait_queue_;
     event_log& log_;
     configuration_ptr configuration_;
     std::map<key, std::shared_ptr<queued_prompt>> waiting_;
--- a/src/pollenstream/exchange/waiting_room.cpp
+++ b/src/pollenstream/exchange/wait_queue.cpp
@@ -1,4 +1,4 @@
-#include <pollenstream/exchange/waiting_room.hpp>
+#include <pollenstream/exchange/wait_queue.hpp>
 
 #include <algorithm>
 #include <map>
@@ -20,18 +20,17 @@
 
 }
 
-waiting_room::waiting_room( ports::scheduler& scheduler )
-    : scheduler_( scheduler )
+wait_queue::wait_queue( ports::scheduler& scheduler ) : scheduler_( scheduler )
 {
 }
 
-auto waiting_room::add( std::shared_ptr<waiter> who ) -> void
+auto wait_queue::add( std::shared_ptr<waiting_item> who ) -> void
 {
     waiting_.push_back( std::move( who ) );
     arm( idle_round );
 }
 
-auto waiting_room::remove( waiter const* who ) -> void
+auto wait_queue::remove( waiting_item const* who ) -> void
 {
     std::erase_if( waiting_,
                    [who]( auto const& w )
@@ -42,18 +41,18 @@
         removed_.push_back( who );
 }
 
-auto waiting_room::was_removed( waiter const* who ) const -> bool
+auto wait_queue::was_removed( waiting_item const* who ) const -> bool
 {
     return std::find( removed_.begin(), removed_.end(), who ) != removed_.end();
 }
 
-auto waiting_room::poke() -> void
+auto wait_queue::poke() -> void
 {
     if ( !waiting_.empty() )
         arm( gather_time );
 }
 
-auto waiting_room::arm( core::duration delay ) -> void
+auto wait_queue::arm( core::duration delay ) -> void
 {
     auto const at = scheduler_.now() + delay;
     if ( round_ && round_at_ <= at )
@@ -69,7 +68,7 @@
 
 /// Takes it out where it does not wait any more. It may have begun to wait
 /// again meanwhile, with an entry of its own.
-auto waiting_room::try_one( std::shared_ptr<waiter> const& who ) -> bool
+auto wait_queue::try_one( std::shared_ptr<waiting_item> const& who ) -> bool
 {
     if ( !who->try_start() )
         return false;
@@ -78,7 +77,7 @@
     return true;
 }
 
-auto waiting_room::run_round() -> void
+auto wait_queue::run_round() -> void
 {
     auto round = waiting_;
     in_round_ = true;
--- a/src/pollenstream/exchange/waiting_room.hpp
+++ b/src/pollenstream/exchange/wait_queue.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_WAITING_ROOM_HPP
-#define POLLENSTREAM_EXCHANGE_WAITING_ROOM_HPP
+#ifndef POLLENSTREAM_EXCHANGE_WAIT_QUEUE_HPP
+#define POLLENSTREAM_EXCHANGE_WAIT_QUEUE_HPP
 
 #include <pollenstream/core/ids.hpp>
 #include <pollenstream/core/units.hpp>
@@ -13,10 +13,10 @@
 {
 
 /// A request that waits for room at a target.
-class waiter
+class waiting_item
 {
 public:
-    virtual ~waiter() = default;
+    virtual ~waiting_item() = default;
 
     /// Starts if there is room now. Returns true where the request does not
     /// wait any more, whatever the reason.
@@ -33,13 +33,13 @@
 
 /// Requests that wait for room at targets: this instance's own, and the asks of
 /// others for which it places.
-class waiting_room
+class wait_queue
 {
 public:
-    explicit waiting_room( ports::scheduler& scheduler );
+    explicit wait_queue( ports::scheduler& scheduler );
 
-    auto add( std::shared_ptr<waiter> who ) -> void;
-    auto remove( waiter const* who ) -> void;
+    auto add( std::shared_ptr<waiting_item> who ) -> void;
+    auto remove( waiting_item const* who ) -> void;
     /// Tries the waiting requests soon; called when load has changed.
     auto poke() -> void;
     [[nodiscard]] auto size() const -> std::size_t
@@ -49,14 +49,14 @@
 
 private:
     auto run_round() -> void;
-    auto try_one( std::shared_ptr<waiter> const& who ) -> bool;
-    [[nodiscard]] auto was_removed( waiter const* who ) const -> bool;
+    auto try_one( std::shared_ptr<waiting_item> const& who ) -> bool;
+    [[nodiscard]] auto was_removed( waiting_item const* who ) const -> bool;
     auto arm( core::duration delay ) -> void;
 
     ports::scheduler& scheduler_;
-    std::vector<std::shared_ptr<waiter>> waiting_;
+    std::vector<std::shared_ptr<waiting_item>> waiting_;
     /// Taken out since the present round began, by what the round has started.
-    std::vector<waiter const*> removed_;
+    std::vector<waiting_item const*> removed_;
     bool in_round_{ false };
     std::unique_ptr<ports::scheduled_call> round_;
     core::instant round_at_;
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -81,10 +81,10 @@
 namespace
 {
 
-class counted_waiter : public exchange::waiter
+class counted_item : public exchange::waiting_item
 {
 public:
-    counted_waiter( double order, std::int64_t size, bool* has_room )
+    counted_item( double order, std::int64_t size, bool* has_room )
         : order_( order ), size_( size ), has_room_( has_room )
     {
     }
@@ -130,23 +130,23 @@
            "[waiting]" )
 {
     auto scheduler = held_scheduler{};
-    auto room = exchange::waiting_room( scheduler );
+    auto queue = exchange::wait_queue( scheduler );
     auto has_room = false;
-    auto const small = std::make_shared<counted_waiter>( 2, 10, &has_room );
-    auto const large = std::make_shared<counted_waiter>( 3, 20, &has_room );
-    auto const first = std::make_shared<counted_waiter>( 1, 15, &has_room );
-    room.add( small );
-    room.add( large );
-    room.add( first );
-    room.poke();
+    auto const small = std::make_shared<counted_item>( 2, 10, &has_room );
+    auto const large = std::make_shared<counted_item>( 3, 20, &has_room );
+    auto const first = std::make_shared<counted_item>( 1, 15, &has_room );
+    queue.add( small );
+    queue.add( large );
+    queue.add( first );
+    queue.poke();
     scheduler.run( 2ms );
     CHECK( first->tries == 1 );
     CHECK( small->tries == 1 );
     CHECK( large->tries == 0 );
     has_room = true;
-    room.poke();
+    queue.poke();
     scheduler.run( 2ms );
-    CHECK( room.size() == 0 );
+    CHECK( queue.size() == 0 );
 }
 
 TEST_CASE( "work counts on the board until it ends, whatever comes late",
@@ -235,16 +235,16 @@
            "[waiting]" )
 {
     auto scheduler = held_scheduler{};
-    auto room = exchange::waiting_room( scheduler );
+    auto queue = exchange::wait_queue( scheduler );
     auto has_room = false;
-    auto const small = std::make_shared<counted_waiter>( 1, 10, &has_room );
-    auto const always = std::make_shared<counted_waiter>( 2, 20, &has_room );
-    auto const large = std::make_shared<counted_waiter>( 3, 15, &has_room );
+    auto const small = std::make_shared<counted_item>( 1, 10, &has_room );
+    auto const always = std::make_shared<counted_item>( 2, 20, &has_room );
+    auto const large = std::make_shared<counted_item>( 3, 15, &has_room );
     always->always_tried = true;
-    room.add( small );
-    room.add( always );
-    room.add( large );
-    room.poke();
+    queue.add( small );
+    queue.add( always );
+    queue.add( large );
+    queue.poke();
     scheduler.run( 2ms );
     CHECK( always->tries == 1 );
     CHECK( large->tries == 0 );
--- a/tests/exchange/waiting_room_test.cpp
+++ b/tests/exchange/wait_queue_test.cpp
@@ -1,5 +1,5 @@
 #include "support/held_scheduler.hpp"
-#include <pollenstream/exchange/waiting_room.hpp>
+#include <pollenstream/exchange/wait_queue.hpp>
 
 #include <catch2/catch.hpp>
 
@@ -13,10 +13,10 @@
 namespace
 {
 
-class scripted_waiter : public exchange::waiter
+class scripted_item : public exchange::waiting_item
 {
 public:
-    explicit scripted_waiter( double order ) : order_( order ) {}
+    explicit scripted_item( double order ) : order_( order ) {}
 
     auto try_start() -> bool override
     {
@@ -58,35 +58,35 @@
            "[waiting_room]" )
 {
     auto scheduler = held_scheduler{};
-    auto room = exchange::waiting_room( scheduler );
-    auto const who = std::make_shared<scripted_waiter>( 1 );
+    auto queue = exchange::wait_queue( scheduler );
+    auto const who = std::make_shared<scripted_item>( 1 );
     // The place that it gets at once turns out to be of no use.
     who->on_try = [&]
     {
         if ( who->tries == 1 )
-            room.add( who );
+            queue.add( who );
         return true;
     };
-    room.add( who );
+    queue.add( who );
     scheduler.run( 100ms );
     CHECK( who->tries == 2 );
-    CHECK( room.size() == 0 );
+    CHECK( queue.size() == 0 );
 }
 
 TEST_CASE( "one that has been taken out within a round is not tried in it",
            "[waiting_room]" )
 {
     auto scheduler = held_scheduler{};
-    auto room = exchange::waiting_room( scheduler );
-    auto const first = std::make_shared<scripted_waiter>( 1 );
-    auto const second = std::make_shared<scripted_waiter>( 2 );
+    auto queue = exchange::wait_queue( scheduler );
+    auto const first = std::make_shared<scripted_item>( 1 );
+    auto const second = std::make_shared<scripted_item>( 2 );
     first->on_try = [&]
     {
-        room.remove( second.get() );
+        queue.remove( second.get() );
         return true;
     };
-    room.add( first );
-    room.add( second );
+    queue.add( first );
+    queue.add( second );
     scheduler.run( 100ms );
     CHECK( first->tries == 1 );
     CHECK( second->tries == 0 );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -102,7 +102,7 @@
                .chooser = chooser,
                .placements = placement_client,
                .retries = retries,
-               .room = room,
+               .queue = queue,
                .log = log,
                .announcer = announcer,
                .self = core::instance_id( "self" ),
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -387,7 +387,7 @@
     exchange::placement chooser{ loads, core::data_centre_id( "a" ) };
     exchange::shared_retry_budget retries{
         { 0.2, 100, std::chrono::seconds( 10 ) } };
-    exchange::waiting_room room{ scheduler };
+    exchange::wait_queue queue{ scheduler };
     recorded_events log;
     recorded_announcements announcer;
     exchange::placement_coordinator coordinator{ core::instance_id( "self" ),
@@ -395,7 +395,7 @@
                                                  loads,
                                                  crashes,
                                                  chooser,
-                                                 room,
+                                                 queue,
                                                  log };
     no_other_instances alone;
     peers::placement_router router{ core::instance_id( "self" ),
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -425,7 +425,7 @@
       speller_( std::make_unique<body_speller>() ),
       chooser_( loads, core::data_centre_id( "a" ) ),
       retries_( { 0.2, 100, std::chrono::seconds( 10 ) } ),
-      room_( fleet.scheduler ),
+      wait_queue_( fleet.scheduler ),
       sender_( std::make_unique<sender>( fleet, ip ) ),
       targets_( std::make_unique<targets>( fleet, name ) ),
       group( { core::instance_id( name ), core::incarnation( incarnation ), ip,
@@ -441,7 +441,7 @@
                     loads,
                     crashes,
                     chooser_,
-                    room_,
+                    wait_queue_,
                     log ),
       router_( core::instance_id( name ),
                fleet.scheduler,
@@ -461,7 +461,7 @@
                .chooser = chooser_,
                .placements = router_,
                .retries = retries_,
-               .room = room_,
+               .queue = wait_queue_,
                .log = log,
                .announcer = group,
                .self = core::instance_id( name ),
@@ -492,7 +492,7 @@
     group.set_ask_handler( router_ );
     group.on_load_changed = [this]
     {
-        room_.poke();
+        wait_queue_.poke();
     };
     group.on_size_changed = [this]
     {
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -168,7 +168,7 @@
     recorded_reservations reservations_;
     exchange::placement chooser_;
     exchange::shared_retry_budget retries_;
-    exchange::waiting_room room_;
+    exchange::wait_queue wait_queue_;
     std::unique_ptr<sender> sender_;
     std::unique_ptr<targets> targets_;
 
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -245,7 +245,7 @@
                                                .chooser = fixture.chooser,
                                                .placements = fixture.router,
                                                .retries = fixture.retries,
-                                               .room = fixture.room,
+                                               .queue = fixture.queue,
                                                .log = fixture.log,
                                                .announcer = fixture.announcer,
                                                .self =
