--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -164,7 +164,7 @@
     return exchange::exchange_context{
         .scheduler = scheduler_,
         .targets = target_calls_,
-        .speller = speller_,
+        .encoder = encoder_,
         .reservations = memory_orders_,
         .loads = load_table_,
         .crashes = crashes_,
--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -76,7 +76,7 @@
     platform::registry_records records_;
     platform::target_calls target_calls_;
     platform::memory_orders memory_orders_;
-    platform::header_speller speller_;
+    platform::header_encoder encoder_;
     exchange::load_table load_table_;
     exchange::crash_history crashes_;
     exchange::placement placement_;
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -85,7 +85,7 @@
 {
     ports::scheduler& scheduler;
     target_caller& targets;
-    request_speller const& speller;
+    request_encoder const& encoder;
     reservation_caller& reservations;
     load_table& loads;
     crash_history& crashes;
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -146,7 +146,7 @@
     out.lifetime = first.properties.lifetime;
     out.address = first.properties.address;
     out.is_get = request_.method == "GET";
-    out.text = std::make_shared<std::string const>( shared_.speller.spell(
+    out.text = std::make_shared<std::string const>( shared_.encoder.encode(
         request_, directions( choice, opened.memory ) ) );
     auto call = shared_.targets.send(
         std::move( out ),
--- a/src/pollenstream/exchange/message.hpp
+++ b/src/pollenstream/exchange/message.hpp
@@ -169,7 +169,7 @@
 };
 
 /// A target that reads a part of the prompt, with the memory held there.
-struct helper_place
+struct helper_target
 {
     core::address address;
     core::reservation_id memory; ///< empty: none is held
@@ -183,17 +183,17 @@
     core::workspace_id workspace;           ///< empty: none
     std::optional<std::int64_t> last_event; ///< go on behind this event
     std::optional<int> urgency;             ///< 0 is first
-    std::vector<helper_place> helpers;
+    std::vector<helper_target> helpers;
 };
 
 /// Spells requests to targets on the wire.
-class request_speller
+class request_encoder
 {
 public:
-    virtual ~request_speller() = default;
+    virtual ~request_encoder() = default;
     [[nodiscard]] virtual auto
-    spell( caller_request const& request,
-           target_directions const& directions ) const -> std::string = 0;
+    encode( caller_request const& request,
+            target_directions const& directions ) const -> std::string = 0;
 };
 
 }
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -117,7 +117,7 @@
     to.last_event = 14;
     to.helpers = { { { "10.0.0.1", 80 }, core::reservation_id( "t" ) },
                    { { "10.0.0.2", 80 }, {} } };
-    auto const text = platform::header_speller().spell( r, to );
+    auto const text = platform::header_encoder().encode( r, to );
     CHECK( text.starts_with( "POST /a/b?c=d HTTP/1.1\r\n" ) );
     CHECK( value_of( text, "Attempt-Id" ) == "id1" );
     CHECK( value_of( text, "Token-Usage" ) == "1460,80" );
@@ -151,7 +151,7 @@
     to.target = core::target_id( "i-1" );
     to.time_left = 1s;
     to.workspace = core::workspace_id( "ws" );
-    auto const text = platform::header_speller().spell( decoded.value(), to );
+    auto const text = platform::header_encoder().encode( decoded.value(), to );
     CHECK( text.find( "secret" ) == std::string::npos );
     CHECK( text.find( "other" ) == std::string::npos );
     CHECK( text.find( "again" ) == std::string::npos );
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -95,7 +95,7 @@
     exchange::placement_client& placement_client )
     : context{ .scheduler = scheduler,
                .targets = targets,
-               .speller = speller,
+               .encoder = encoder,
                .reservations = reservations,
                .loads = loads,
                .crashes = crashes,
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -162,12 +162,12 @@
 };
 
 /// Writes directions so that tests can read them.
-class plain_speller : public exchange::request_speller
+class plain_encoder : public exchange::request_encoder
 {
 public:
     [[nodiscard]] auto
-    spell( exchange::caller_request const& request,
-           exchange::target_directions const& directions ) const
+    encode( exchange::caller_request const& request,
+            exchange::target_directions const& directions ) const
         -> std::string override
     {
         auto text = request.method + " " + request.target + " to " +
@@ -380,7 +380,7 @@
 
     held_scheduler scheduler;
     recorded_targets targets;
-    plain_speller speller;
+    plain_encoder encoder;
     recorded_reservations reservations;
     exchange::load_table loads;
     exchange::crash_history crashes{ std::chrono::seconds( 6 ) };
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -38,12 +38,12 @@
 }
 
 /// Path and body, for `fleet_targets`.
-class body_speller : public exchange::request_speller
+class body_encoder : public exchange::request_encoder
 {
 public:
     [[nodiscard]] auto
-    spell( exchange::caller_request const& request,
-           exchange::target_directions const& directions ) const
+    encode( exchange::caller_request const& request,
+            exchange::target_directions const& directions ) const
         -> std::string override
     {
         auto const last = directions.last_event.value_or( 0 );
@@ -422,7 +422,7 @@
                                 int incarnation )
     : name( "n" + std::to_string( number ) ),
       ip( "10.0.0." + std::to_string( number ) ), fleet_( fleet ),
-      speller_( std::make_unique<body_speller>() ),
+      encoder_( std::make_unique<body_encoder>() ),
       chooser_( loads, core::data_centre_id( "a" ) ),
       retries_( { 0.2, 100, std::chrono::seconds( 10 ) } ),
       wait_queue_( fleet.scheduler ),
@@ -454,7 +454,7 @@
                } ),
       context{ .scheduler = fleet.scheduler,
                .targets = *targets_,
-               .speller = *speller_,
+               .encoder = *encoder_,
                .reservations = reservations_,
                .loads = loads,
                .crashes = crashes,
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -164,7 +164,7 @@
     class targets;
 
     exchange_fleet& fleet_;
-    std::unique_ptr<exchange::request_speller> speller_;
+    std::unique_ptr<exchange::request_encoder> encoder_;
     recorded_reservations reservations_;
     exchange::placement chooser_;
     exchange::shared_retry_budget retries_;
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -26,9 +26,9 @@
 
 }
 
-auto sized_speller::spell( exchange::caller_request const& request,
-                           exchange::target_directions const& directions ) const
-    -> std::string
+auto sized_encoder::encode(
+    exchange::caller_request const& request,
+    exchange::target_directions const& directions ) const -> std::string
 {
     auto text = std::to_string( request.prompt->prompt_tokens );
     for ( auto const& helper : directions.helpers )
@@ -237,7 +237,7 @@
     : engines( fixture.scheduler, speed ), context_{
                                                .scheduler = fixture.scheduler,
                                                .targets = engines,
-                                               .speller = speller_,
+                                               .encoder = encoder_,
                                                .reservations =
                                                    fixture.reservations,
                                                .loads = fixture.loads,
--- a/tests/support/played_engines.hpp
+++ b/tests/support/played_engines.hpp
@@ -13,12 +13,12 @@
 
 /// Writes the size of a prompt and the addresses that read it, for
 /// `played_engines`.
-class sized_speller : public exchange::request_speller
+class sized_encoder : public exchange::request_encoder
 {
 public:
     [[nodiscard]] auto
-    spell( exchange::caller_request const& request,
-           exchange::target_directions const& directions ) const
+    encode( exchange::caller_request const& request,
+            exchange::target_directions const& directions ) const
         -> std::string override;
 };
 
@@ -106,7 +106,7 @@
                 std::string const& route,
                 core::duration time_limit ) -> void;
 
-    sized_speller speller_;
+    sized_encoder encoder_;
     exchange::exchange_context context_;
     std::vector<std::unique_ptr<ports::scheduled_call>> calls_;
 };
