--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -452,11 +452,11 @@
 auto gateway_node::record_process( std::string now, std::string because )
     -> void
 {
-    log_.record( exchange::belief_changed{ "process",
-                                           settings_.instance.str(),
-                                           std::move( now ),
-                                           std::move( because ),
-                                           {} } );
+    log_.record( exchange::state_change{ "process",
+                                         settings_.instance.str(),
+                                         std::move( now ),
+                                         std::move( because ),
+                                         {} } );
 }
 
 }
--- a/apps/gateway/settings_watch.cpp
+++ b/apps/gateway/settings_watch.cpp
@@ -69,7 +69,7 @@
 
 auto settings_watch::record( std::string now, std::string because ) -> void
 {
-    log_.record( exchange::belief_changed{
+    log_.record( exchange::state_change{
         "process", self_.str(), std::move( now ), std::move( because ), {} } );
 }
 
--- a/src/pollenstream/adapters/spdlog/structured_log.cpp
+++ b/src/pollenstream/adapters/spdlog/structured_log.cpp
@@ -153,7 +153,7 @@
     return line;
 }
 
-auto line_of( exchange::belief_changed const& e ) -> line_builder
+auto line_of( exchange::state_change const& e ) -> line_builder
 {
     auto line = line_builder( "belief" );
     line.text( "what", e.what )
--- a/src/pollenstream/exchange/event_log.cpp
+++ b/src/pollenstream/exchange/event_log.cpp
@@ -41,10 +41,10 @@
 
 }
 
-auto limit_news( target_ref const& target,
-                 limit_change change,
-                 std::optional<double> per_second,
-                 std::string because ) -> belief_changed
+auto limit_state_change( target_ref const& target,
+                         limit_change change,
+                         std::optional<double> per_second,
+                         std::string because ) -> state_change
 {
     if ( per_second )
         because += ", " + rate_text( *per_second );
--- a/src/pollenstream/exchange/event_log.hpp
+++ b/src/pollenstream/exchange/event_log.hpp
@@ -87,7 +87,7 @@
 };
 
 /// What the process believes of something has changed.
-struct belief_changed
+struct state_change
 {
     std::string what; ///< `target`, `store`, `peer`, `configuration`, `process`
     std::string name;
@@ -97,16 +97,16 @@
 };
 
 /// News of a target's limit, told by `because`.
-auto limit_news( target_ref const& target,
-                 limit_change change,
-                 std::optional<double> per_second,
-                 std::string because ) -> belief_changed;
+auto limit_state_change( target_ref const& target,
+                         limit_change change,
+                         std::optional<double> per_second,
+                         std::string because ) -> state_change;
 
 using event = std::variant<request_refused,
                            request_placed,
                            attempt_failed,
                            request_ended,
-                           belief_changed>;
+                           state_change>;
 
 /// Takes events; never blocks.
 class event_log
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -257,10 +257,10 @@
     demand.only_to_hear = true;
     demand.limits = shared_.placements.is_active_coordinator()
                         ? limit_use::for_all
-                        : limit_use::unasked;
+                        : limit_use::uncoordinated;
     auto result = shared_.chooser.choose( demand, *service_, now );
-    if ( result.choice && demand.limits == limit_use::unasked )
-        shared_.loads.note_unasked( result.choice->parts, now );
+    if ( result.choice && demand.limits == limit_use::uncoordinated )
+        shared_.loads.note_uncoordinated( result.choice->parts, now );
     return result;
 }
 
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -93,7 +93,7 @@
     if ( is_told_to_others() )
         shared_.announcer.work_began( work );
     else
-        shared_.loads.note_untold( work.parts, shared_.scheduler.now() );
+        shared_.loads.note_unreported( work.parts, shared_.scheduler.now() );
 }
 
 auto exchange::send( placement_grant const& grant,
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -31,15 +31,15 @@
     note_told_limit( from, head );
     for ( auto const& name : head.unknown_headers )
         if ( shared_.counters.unknown_headers.add( name ) )
-            shared_.log.record( belief_changed{ "header",
-                                                name,
-                                                "unknown",
-                                                "answer of " + target.id.str(),
-                                                {} } );
+            shared_.log.record( state_change{ "header",
+                                              name,
+                                              "unknown",
+                                              "answer of " + target.id.str(),
+                                              {} } );
     if ( !head.announces_leaving ||
          !shared_.loads.note_announced_leaving( target ) )
         return;
-    shared_.log.record( belief_changed{
+    shared_.log.record( state_change{
         "target", target.id.str(), "leaving", "its own answer", {} } );
     shared_.announcer.target_leaves( target );
 }
@@ -50,11 +50,11 @@
 {
     auto const& target = from.target;
     if ( head.has_invalid_limit && shared_.loads.note_invalid_limit( target ) )
-        shared_.log.record( belief_changed{ "target",
-                                            target.id.str(),
-                                            "limit_unreadable",
-                                            "its own answer",
-                                            {} } );
+        shared_.log.record( state_change{ "target",
+                                          target.id.str(),
+                                          "limit_unreadable",
+                                          "its own answer",
+                                          {} } );
     auto const is_whole_statement =
         head.limit || ( head.has_seal && head.status < first_failure_status &&
                         !head.has_invalid_limit );
@@ -66,7 +66,7 @@
         return;
     shared_.announcer.target_limited( target, change );
     shared_.log.record(
-        limit_news( target, change, head.limit, "its own answer" ) );
+        limit_state_change( target, change, head.limit, "its own answer" ) );
 }
 
 /// What has been served is no suspect any more, here and at the others.
--- a/src/pollenstream/exchange/limit_belief.cpp
+++ b/src/pollenstream/exchange/known_limit.cpp
@@ -1,4 +1,4 @@
-#include <pollenstream/exchange/limit_belief.hpp>
+#include <pollenstream/exchange/known_limit.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -16,13 +16,13 @@
     return std::isfinite( per_second ) && per_second >= 0;
 }
 
-auto rate_of( limit_statement const& what ) -> double
+auto rate_of( limit_report const& what ) -> double
 {
     return what.per_second.value_or( std::numeric_limits<double>::infinity() );
 }
 
-auto change_between( limit_statement const& before,
-                     limit_statement const& after ) -> limit_change
+auto change_between( limit_report const& before, limit_report const& after )
+    -> limit_change
 {
     if ( !after.per_second )
         return limit_change::ended;
@@ -34,7 +34,7 @@
 
 }
 
-auto limit_belief::take( limit_statement const& what ) -> limit_change
+auto known_limit::take( limit_report const& what ) -> limit_change
 {
     if ( what.per_second && !is_rate( *what.per_second ) )
         return limit_change::none;
--- a/src/pollenstream/exchange/limit_belief.hpp
+++ b/src/pollenstream/exchange/known_limit.hpp
@@ -1,5 +1,5 @@
-#ifndef POLLENSTREAM_EXCHANGE_LIMIT_BELIEF_HPP
-#define POLLENSTREAM_EXCHANGE_LIMIT_BELIEF_HPP
+#ifndef POLLENSTREAM_EXCHANGE_KNOWN_LIMIT_HPP
+#define POLLENSTREAM_EXCHANGE_KNOWN_LIMIT_HPP
 
 #include <pollenstream/core/units.hpp>
 
@@ -11,7 +11,7 @@
 /// What one answer says of the requests that its target takes from all
 /// instances together. The target said it between the two times, which are of
 /// this instance's clock.
-struct limit_statement
+struct limit_report
 {
     /// Requests a second; nothing where the answer names no limit.
     std::optional<double> per_second;
@@ -34,23 +34,23 @@
 /// where it is certain to be younger. Of two that may have been made in either
 /// order the lower limit holds, so that an old answer without a limit never
 /// ends one, and the next request settles it.
-class limit_belief
+class known_limit
 {
 public:
-    auto take( limit_statement const& what ) -> limit_change;
+    auto take( limit_report const& what ) -> limit_change;
 
     [[nodiscard]] auto per_second() const -> std::optional<double>
     {
         return held_.per_second;
     }
     /// The statement that holds, its times widened by others that agree.
-    [[nodiscard]] auto held() const -> limit_statement const&
+    [[nodiscard]] auto held() const -> limit_report const&
     {
         return held_;
     }
 
 private:
-    limit_statement held_;
+    limit_report held_;
 };
 
 }
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -442,7 +442,7 @@
 }
 
 auto load_table::note_limit( target_ref const& ref,
-                             limit_statement const& what,
+                             limit_report const& what,
                              core::instant now ) -> limit_change
 {
     auto const at = find_lifetime( ref );
@@ -454,20 +454,20 @@
     return change;
 }
 
-auto load_table::note_unasked( std::vector<work_part> const& parts,
-                               core::instant now ) -> void
+auto load_table::note_uncoordinated( std::vector<work_part> const& parts,
+                                     core::instant now ) -> void
 {
     for ( auto const& part : parts )
         if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
-            at->limit.note_unasked( now );
+            at->limit.note_uncoordinated( now );
 }
 
-auto load_table::note_untold( std::vector<work_part> const& parts,
-                              core::instant now ) -> void
+auto load_table::note_unreported( std::vector<work_part> const& parts,
+                                  core::instant now ) -> void
 {
     for ( auto const& part : parts )
         if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
-            at->limit.note_untold( now );
+            at->limit.note_unreported( now );
 }
 
 auto load_table::note_sent( target_ref const& ref,
@@ -480,11 +480,11 @@
         at->limit.note_sent( time, 1 );
 }
 
-auto load_table::take_untold( target_ref const& ref, core::instant now )
+auto load_table::take_unreported( target_ref const& ref, core::instant now )
     -> std::vector<core::instant>
 {
     auto const at = find_lifetime( ref );
-    return at ? at->limit.take_untold( now ) : std::vector<core::instant>{};
+    return at ? at->limit.take_unreported( now ) : std::vector<core::instant>{};
 }
 
 auto load_table::limited() const -> std::vector<target_ref>
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -279,7 +279,7 @@
     /// An answer of the target says how many requests a second it takes, or
     /// names no limit.
     auto note_limit( target_ref const& ref,
-                     limit_statement const& what,
+                     limit_report const& what,
                      core::instant now ) -> limit_change;
     /// The target has named a limit that cannot be read; true where that is
     /// news.
@@ -300,16 +300,16 @@
         return target.limit.next( use, shares_ ) <= now;
     }
     /// This instance sends `parts` without having asked who places for all.
-    auto note_unasked( std::vector<work_part> const& parts, core::instant now )
-        -> void;
+    auto note_uncoordinated( std::vector<work_part> const& parts,
+                             core::instant now ) -> void;
     /// This instance sends `parts` and tells nobody.
-    auto note_untold( std::vector<work_part> const& parts, core::instant now )
-        -> void;
+    auto note_unreported( std::vector<work_part> const& parts,
+                          core::instant now ) -> void;
     /// Others have sent the target requests of which they told nobody before.
     auto note_sent( target_ref const& ref,
                     std::vector<core::instant> const& times ) -> void;
     /// When this instance sent the target what it told nobody; given once.
-    auto take_untold( target_ref const& ref, core::instant now )
+    auto take_unreported( target_ref const& ref, core::instant now )
         -> std::vector<core::instant>;
     /// Targets of which a limit, or its end, has been heard.
     [[nodiscard]] auto limited() const -> std::vector<target_ref>;
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -387,8 +387,8 @@
                                load_table_.may_send( *target, use, now ),
                                "target " + target->properties.id.str() +
                                    " is granted over its limit" );
-    if ( use == limit_use::unasked )
-        load_table_.note_unasked( work.parts, now );
+    if ( use == limit_use::uncoordinated )
+        load_table_.note_uncoordinated( work.parts, now );
     load_table_.add_work( who.request.requester, work, now );
 }
 
--- a/src/pollenstream/exchange/request_limit.cpp
+++ b/src/pollenstream/exchange/request_limit.cpp
@@ -18,10 +18,10 @@
 
 }
 
-auto request_limit::take( limit_statement const& what, core::instant now )
+auto request_limit::take( limit_report const& what, core::instant now )
     -> limit_change
 {
-    auto const change = belief_.take( what );
+    auto const change = known_.take( what );
     if ( change == limit_change::named )
         pace_.begin( *what.per_second, now );
     else if ( change == limit_change::lowered ||
@@ -38,20 +38,20 @@
         pace_.note_sent( at, requests );
 }
 
-auto request_limit::note_untold( core::instant at ) -> void
+auto request_limit::note_unreported( core::instant at ) -> void
 {
-    untold_.add( at );
+    unreported_.add( at );
 }
 
-auto request_limit::take_untold( core::instant now )
+auto request_limit::take_unreported( core::instant now )
     -> std::vector<core::instant>
 {
-    return std::exchange( untold_, {} ).within( now );
+    return std::exchange( unreported_, {} ).within( now );
 }
 
-auto request_limit::note_unasked( core::instant at ) -> void
+auto request_limit::note_uncoordinated( core::instant at ) -> void
 {
-    pace_.note_unasked( at );
+    pace_.note_uncoordinated( at );
 }
 
 auto request_limit::next( limit_use use, limit_shares const& shares ) const
@@ -64,7 +64,7 @@
     -> double
 {
     auto const share =
-        use == limit_use::for_all ? shares.for_all : shares.unasked;
+        use == limit_use::for_all ? shares.for_all : shares.uncoordinated;
     return pace_.rate() * share;
 }
 
--- a/src/pollenstream/exchange/request_limit.hpp
+++ b/src/pollenstream/exchange/request_limit.hpp
@@ -1,7 +1,7 @@
 #ifndef POLLENSTREAM_EXCHANGE_REQUEST_LIMIT_HPP
 #define POLLENSTREAM_EXCHANGE_REQUEST_LIMIT_HPP
 
-#include <pollenstream/exchange/limit_belief.hpp>
+#include <pollenstream/exchange/known_limit.hpp>
 #include <pollenstream/exchange/request_pace.hpp>
 #include <pollenstream/exchange/sent_times.hpp>
 
@@ -16,24 +16,24 @@
 class request_limit
 {
 public:
-    auto take( limit_statement const& what, core::instant now ) -> limit_change;
+    auto take( limit_report const& what, core::instant now ) -> limit_change;
     /// `requests` were sent at once, by whichever instance.
     auto note_sent( core::instant at, std::size_t requests ) -> void;
     /// This instance sent a request of which it tells nobody. They count for
     /// who places for all, should the target name a limit.
-    auto note_untold( core::instant at ) -> void;
+    auto note_unreported( core::instant at ) -> void;
     /// When it did so in the last window; each is given once.
-    auto take_untold( core::instant now ) -> std::vector<core::instant>;
+    auto take_unreported( core::instant now ) -> std::vector<core::instant>;
     /// One of them was sent by this instance without having asked.
-    auto note_unasked( core::instant at ) -> void;
+    auto note_uncoordinated( core::instant at ) -> void;
 
     [[nodiscard]] auto per_second() const -> std::optional<double>
     {
-        return belief_.per_second();
+        return known_.per_second();
     }
-    [[nodiscard]] auto held() const -> limit_statement const&
+    [[nodiscard]] auto held() const -> limit_report const&
     {
-        return belief_.held();
+        return known_.held();
     }
     /// Requests of all instances in the last window, as far as this one knows.
     [[nodiscard]] auto sent_lately( core::instant now ) const -> std::size_t
@@ -51,9 +51,9 @@
     [[nodiscard]] auto is_unheard( core::instant now ) const -> bool;
 
 private:
-    limit_belief belief_;
+    known_limit known_;
     sent_times sent_;
-    sent_times untold_;
+    sent_times unreported_;
     request_pace pace_;
 };
 
--- a/src/pollenstream/exchange/request_pace.cpp
+++ b/src/pollenstream/exchange/request_pace.cpp
@@ -32,7 +32,7 @@
     rate_ = std::max( per_second, least_rate );
     began_ = now;
     due_ = now + distance( rate_ );
-    last_unasked_.reset();
+    last_uncoordinated_.reset();
 }
 
 /// Requests that are still to be waited for stay as many.
@@ -56,9 +56,9 @@
         std::min( due, at + std::max( sent_times::window, distance( rate_ ) ) );
 }
 
-auto request_pace::note_unasked( core::instant at ) -> void
+auto request_pace::note_uncoordinated( core::instant at ) -> void
 {
-    last_unasked_ = at;
+    last_uncoordinated_ = at;
 }
 
 auto request_pace::next( limit_use use,
@@ -67,7 +67,7 @@
 {
     if ( use == limit_use::for_all )
         return next_for_all( shares.for_all, sent );
-    return std::max( next_unasked( shares ), next_for_all( 1, sent ) );
+    return std::max( next_uncoordinated( shares ), next_for_all( 1, sent ) );
 }
 
 /// The distances alone keep the limit in the long run. What was sent before it
@@ -84,12 +84,12 @@
     return std::max( due, sent.fewer_than( most ) );
 }
 
-auto request_pace::next_unasked( limit_shares const& shares ) const
+auto request_pace::next_uncoordinated( limit_shares const& shares ) const
     -> core::instant
 {
-    auto const own_distance = 1 / ( rate_ * shares.unasked );
-    if ( last_unasked_ )
-        return *last_unasked_ + core::duration_of( own_distance );
+    auto const own_distance = 1 / ( rate_ * shares.uncoordinated );
+    if ( last_uncoordinated_ )
+        return *last_uncoordinated_ + core::duration_of( own_distance );
     return began_ + core::duration_of( own_distance * shares.phase );
 }
 
--- a/src/pollenstream/exchange/request_pace.hpp
+++ b/src/pollenstream/exchange/request_pace.hpp
@@ -13,15 +13,15 @@
 /// How an instance may use a target's limit, which is meant for all together.
 enum class limit_use
 {
-    for_all, ///< it places for all instances, and knows of what they send
-    unasked, ///< it sends without an answer of those who place for all
+    for_all,       ///< it places for all instances, and knows of what they send
+    uncoordinated, ///< it sends without an answer of those who place for all
 };
 
 /// The parts of each limit that one instance may use.
 struct limit_shares
 {
     double for_all{ 1 };
-    double unasked{ 1 };
+    double uncoordinated{ 1 };
     /// From 0 to 1, another one at each instance, so that what they send
     /// unasked does not come at the same moment.
     double phase{ 0 };
@@ -38,7 +38,7 @@
     auto change( double per_second, core::instant now ) -> void;
     /// `requests` were sent at once, by whichever instance.
     auto note_sent( core::instant at, std::size_t requests ) -> void;
-    auto note_unasked( core::instant at ) -> void;
+    auto note_uncoordinated( core::instant at ) -> void;
 
     /// Earliest moment for the next request, given what has been sent.
     [[nodiscard]] auto next( limit_use use,
@@ -54,13 +54,13 @@
     [[nodiscard]] auto next_for_all( double share,
                                      sent_times const& sent ) const
         -> core::instant;
-    [[nodiscard]] auto next_unasked( limit_shares const& shares ) const
+    [[nodiscard]] auto next_uncoordinated( limit_shares const& shares ) const
         -> core::instant;
 
     double rate_{ 1 };
     core::instant began_;
     core::instant due_; ///< of the next request of all instances
-    std::optional<core::instant> last_unasked_;
+    std::optional<core::instant> last_uncoordinated_;
 };
 
 }
--- a/src/pollenstream/observation/bounded_log.cpp
+++ b/src/pollenstream/observation/bounded_log.cpp
@@ -35,7 +35,7 @@
     if ( now - second_ < 1s )
         return;
     if ( left_out_ > told_ )
-        next_.record( exchange::belief_changed{
+        next_.record( exchange::state_change{
             "log", "requests", "left_out", std::to_string( left_out_ - told_ ),
             now - second_ } );
     told_ = left_out_;
--- a/src/pollenstream/observation/event_metrics.cpp
+++ b/src/pollenstream/observation/event_metrics.cpp
@@ -80,7 +80,7 @@
     longest_gap_[e.route].add( e.longest_gap );
 }
 
-auto event_metrics::count( exchange::belief_changed const& e ) -> void
+auto event_metrics::count( exchange::state_change const& e ) -> void
 {
     ++beliefs_[{ e.what, e.now }];
 }
--- a/src/pollenstream/observation/event_metrics.hpp
+++ b/src/pollenstream/observation/event_metrics.hpp
@@ -29,7 +29,7 @@
     auto count( exchange::request_placed const& e ) -> void;
     auto count( exchange::attempt_failed const& e ) -> void;
     auto count( exchange::request_ended const& e ) -> void;
-    auto count( exchange::belief_changed const& e ) -> void;
+    auto count( exchange::state_change const& e ) -> void;
 
     using pair = std::pair<std::string, std::string>;
 
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -402,9 +402,9 @@
 auto peer_group::note( peer const& which, std::string now, std::string because )
     -> void
 {
-    log_.record( exchange::belief_changed{
-        "peer", which.id.str(), std::move( now ), std::move( because ),
-        scheduler_.now() - which.heard } );
+    log_.record( exchange::state_change{ "peer", which.id.str(),
+                                         std::move( now ), std::move( because ),
+                                         scheduler_.now() - which.heard } );
 }
 
 auto peer_group::on_datagram( std::string_view bytes ) -> void
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -22,7 +22,7 @@
 constexpr auto most_told_limits = std::size_t{ 40 };
 /// Part of its equal share of a limit that an instance may use without having
 /// asked: what many draw for themselves may fall together.
-constexpr auto unasked_part = 0.25;
+constexpr auto uncoordinated_part = 0.25;
 
 }
 
@@ -70,7 +70,7 @@
 {
     auto const now = scheduler_.now();
     auto limit = told( ref );
-    for ( auto const at : load_table_.take_untold( ref, now ) )
+    for ( auto const at : load_table_.take_unreported( ref, now ) )
         limit.sent_ages_ms.push_back( core::milliseconds_of( now - at ) );
     auto message = base_message();
     message.limits.push_back( std::move( limit ) );
@@ -113,9 +113,9 @@
         load_table_.note_sent( l.target, times );
         if ( change == exchange::limit_change::none )
             continue;
-        log_.record(
-            exchange::limit_news( l.target, change, l.per_second,
-                                  "its answer to " + message.sender.str() ) );
+        log_.record( exchange::limit_state_change(
+            l.target, change, l.per_second,
+            "its answer to " + message.sender.str() ) );
         if ( change == exchange::limit_change::named )
             tell_coordinators( l.target );
     }
@@ -136,8 +136,8 @@
     auto const phase =
         static_cast<double>( core::stable_hash( self_.id.str() ) >> 11U ) /
         static_cast<double>( std::uint64_t{ 1 } << 53U );
-    load_table_.set_limit_shares(
-        { hears_most ? 1.0 : living / known, unasked_part / known, phase } );
+    load_table_.set_limit_shares( { hears_most ? 1.0 : living / known,
+                                    uncoordinated_part / known, phase } );
 }
 
 auto peer_group::run_crashed( exchange::crashed_run const& what ) -> void
@@ -198,12 +198,12 @@
 {
     for ( auto const& ref : message.leaving_targets )
         if ( load_table_.note_announced_leaving( ref ) )
-            log_.record( exchange::belief_changed{ "target",
-                                                   ref.id.str(),
-                                                   "leaving",
-                                                   "its answer to " +
-                                                       message.sender.str(),
-                                                   {} } );
+            log_.record(
+                exchange::state_change{ "target",
+                                        ref.id.str(),
+                                        "leaving",
+                                        "its answer to " + message.sender.str(),
+                                        {} } );
 }
 
 /// What ends its targets, for those that have missed it or have just started;
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -187,8 +187,8 @@
 auto placement_router::send( pending_ptr const& which ) -> void
 {
     auto const next = next_coordinator( *which );
-    which->request.demand.limits =
-        next ? exchange::limit_use::for_all : exchange::limit_use::unasked;
+    which->request.demand.limits = next ? exchange::limit_use::for_all
+                                        : exchange::limit_use::uncoordinated;
     if ( !next )
         counters_.own_choice.add();
     if ( !next || *next == self_ )
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -127,12 +127,11 @@
                        std::string now,
                        std::string because ) -> void
 {
-    context_.log.record(
-        exchange::belief_changed{ "content",
-                                  exchange::to_string( content ),
-                                  std::move( now ),
-                                  std::move( because ),
-                                  {} } );
+    context_.log.record( exchange::state_change{ "content",
+                                                 exchange::to_string( content ),
+                                                 std::move( now ),
+                                                 std::move( because ),
+                                                 {} } );
 }
 
 }
--- a/src/pollenstream/registry/registration.cpp
+++ b/src/pollenstream/registry/registration.cpp
@@ -34,7 +34,7 @@
     held_ = held;
     trouble_told_ = !held;
     if ( is_news )
-        log_.record( exchange::belief_changed{
+        log_.record( exchange::state_change{
             "registration", key_, held ? "held" : "not_held", because, {} } );
 }
 
--- a/src/pollenstream/registry/registry_watch.cpp
+++ b/src/pollenstream/registry/registry_watch.cpp
@@ -166,7 +166,7 @@
 {
     if ( store_serves_ )
         log_.record(
-            exchange::belief_changed{ "store", "", "away", why.detail, {} } );
+            exchange::state_change{ "store", "", "away", why.detail, {} } );
     if ( store_serves_ || trouble_since_ == core::instant{} )
         trouble_since_ = scheduler_.now() - store_age();
     store_serves_ = false;
@@ -186,7 +186,7 @@
     if ( std::exchange( ever_served_, true ) )
         trouble_until_ = scheduler_.now();
     log_.record(
-        exchange::belief_changed{ "store", "", "serves", "it answered", {} } );
+        exchange::state_change{ "store", "", "serves", "it answered", {} } );
 }
 
 auto registry_watch::retry_later() -> void
@@ -307,7 +307,7 @@
     if ( read.has_error() )
     {
         // The last good version stays in force.
-        log_.record( exchange::belief_changed{
+        log_.record( exchange::state_change{
             "configuration", r.key, "unreadable", read.error().detail, {} } );
         return;
     }
@@ -320,11 +320,11 @@
                            "configuration went back" );
     configuration_ = next;
     log_.record(
-        exchange::belief_changed{ "configuration",
-                                  std::to_string( next->version.count() ),
-                                  "in_force",
-                                  from,
-                                  {} } );
+        exchange::state_change{ "configuration",
+                                std::to_string( next->version.count() ),
+                                "in_force",
+                                from,
+                                {} } );
     events_.on_configuration( next );
 }
 
@@ -339,11 +339,11 @@
     missing_.erase( id );
     auto const change = load_table_.put( std::move( read.value() ) );
     if ( change != exchange::target_change::none )
-        log_.record( exchange::belief_changed{ "target",
-                                               id.str(),
-                                               name_of( change ),
-                                               source_of( from, lifetime ),
-                                               {} } );
+        log_.record( exchange::state_change{ "target",
+                                             id.str(),
+                                             name_of( change ),
+                                             source_of( from, lifetime ),
+                                             {} } );
     if ( change == exchange::target_change::starts_to_leave )
         events_.on_target_left( id );
     events_.on_targets_changed();
@@ -354,8 +354,8 @@
 auto registry_watch::take_unreadable_target( std::string const& key,
                                              core::error const& why ) -> void
 {
-    log_.record( exchange::belief_changed{
-        "target", key, "unreadable", why.detail, {} } );
+    log_.record(
+        exchange::state_change{ "target", key, "unreadable", why.detail, {} } );
     auto const id = codec_.target_of( key );
     missing_.erase( id );
     auto const at = load_table_.find( id );
@@ -396,12 +396,12 @@
     if ( !may_be_lapsed() )
         return target_gone( id, from );
     missing_.try_emplace( id, scheduler_.now() );
-    log_.record( exchange::belief_changed{ "target",
-                                           id.str(),
-                                           "missing",
-                                           "its entry lapsed beside trouble of "
-                                           "the store",
-                                           {} } );
+    log_.record( exchange::state_change{ "target",
+                                         id.str(),
+                                         "missing",
+                                         "its entry lapsed beside trouble of "
+                                         "the store",
+                                         {} } );
     arm_missing_check();
 }
 
@@ -410,7 +410,7 @@
 {
     load_table_.mark_gone( id );
     log_.record(
-        exchange::belief_changed{ "target", id.str(), "gone", why, {} } );
+        exchange::state_change{ "target", id.str(), "gone", why, {} } );
     events_.on_target_left( id );
     events_.on_targets_changed();
 }
--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/told_state_test.cpp
@@ -39,11 +39,11 @@
     return std::any_of( log.all.begin(), log.all.end(),
                         [&]( auto const& what )
                         {
-                            auto const* const belief =
-                                std::get_if<exchange::belief_changed>( &what );
-                            return belief != nullptr &&
-                                   belief->name == target &&
-                                   belief->now == "leaving";
+                            auto const* const change =
+                                std::get_if<exchange::state_change>( &what );
+                            return change != nullptr &&
+                                   change->name == target &&
+                                   change->now == "leaving";
                         } );
 }
 
--- a/tests/observation/observation_test.cpp
+++ b/tests/observation/observation_test.cpp
@@ -58,7 +58,7 @@
     // What was left out is told.
     auto told = false;
     for ( auto const& e : written.all )
-        if ( auto const* b = std::get_if<exchange::belief_changed>( &e ) )
+        if ( auto const* b = std::get_if<exchange::state_change>( &e ) )
             told = told || ( b->now == "left_out" && b->because == "980" );
     CHECK( told );
 }
@@ -69,7 +69,7 @@
     auto written = recorded_events{};
     auto log = observation::bounded_log( written, scheduler, 0 );
     for ( auto i = 0; i < 50; ++i )
-        log.record( exchange::belief_changed{ "target", "x", "gone", "", {} } );
+        log.record( exchange::state_change{ "target", "x", "gone", "", {} } );
     CHECK( written.all.size() == 50 );
 }
 
--- a/tests/platform/settings_watch_test.cpp
+++ b/tests/platform/settings_watch_test.cpp
@@ -34,8 +34,7 @@
     {
         if ( log.all.empty() )
             return {};
-        auto const& event =
-            std::get<exchange::belief_changed>( log.all.back() );
+        auto const& event = std::get<exchange::state_change>( log.all.back() );
         return event.now + ": " + event.because;
     }
 
--- a/tests/registry/registration_test.cpp
+++ b/tests/registry/registration_test.cpp
@@ -65,7 +65,7 @@
     {
         auto all = std::vector<std::string>{};
         for ( auto const& event : log.all )
-            all.push_back( std::get<exchange::belief_changed>( event ).now );
+            all.push_back( std::get<exchange::state_change>( event ).now );
         return all;
     }
 
--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -70,13 +70,13 @@
     }
     auto unreadable_lines() const -> std::int64_t
     {
-        return std::count_if(
-            log.all.begin(), log.all.end(),
-            []( auto const& e )
-            {
-                auto const* b = std::get_if<exchange::belief_changed>( &e );
-                return b != nullptr && b->now == "unreadable";
-            } );
+        return std::count_if( log.all.begin(), log.all.end(),
+                              []( auto const& e )
+                              {
+                                  auto const* b =
+                                      std::get_if<exchange::state_change>( &e );
+                                  return b != nullptr && b->now == "unreadable";
+                              } );
     }
 
     held_scheduler scheduler;
