--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -65,7 +65,7 @@
     friend class placement_reply;
 
     /// What is open at targets for this request.
-    struct open_try
+    struct target_attempt
     {
         std::uint64_t serial{ 0 };
         target_ref target;
@@ -132,9 +132,9 @@
         -> void;
 
     auto on_head( std::uint64_t serial, answer_head head ) -> void;
-    auto note_told_state( open_try const& from, answer_head const& head )
+    auto note_told_state( target_attempt const& from, answer_head const& head )
         -> void;
-    auto note_told_limit( open_try const& from, answer_head const& head )
+    auto note_told_limit( target_attempt const& from, answer_head const& head )
         -> void;
     auto on_body( std::uint64_t serial, std::string const& bytes ) -> void;
     auto on_end( std::uint64_t serial, attempt_end const& end ) -> void;
@@ -147,13 +147,14 @@
     auto relay_event( stream_event& event ) -> bool;
     auto pass_on( std::string events ) -> void;
     auto note_event() -> void;
-    [[nodiscard]] auto is_whole( open_try const& from ) const -> bool;
-    [[nodiscard]] auto is_answer( open_try const& from,
+    [[nodiscard]] auto is_whole( target_attempt const& from ) const -> bool;
+    [[nodiscard]] auto is_answer( target_attempt const& from,
                                   attempt_end const& end ) const -> bool;
     auto speaks_again( std::vector<stream_event> const& events ) -> bool;
-    [[nodiscard]] auto streams( open_try const& which ) const -> bool;
-    [[nodiscard]] auto find_try( std::uint64_t serial ) -> open_try*;
-    [[nodiscard]] auto is_silent_one( open_try const* which ) const -> bool
+    [[nodiscard]] auto streams( target_attempt const& which ) const -> bool;
+    [[nodiscard]] auto find_attempt( std::uint64_t serial ) -> target_attempt*;
+    [[nodiscard]] auto is_silent_one( target_attempt const* which ) const
+        -> bool
     {
         return silent_ && which == &*silent_;
     }
@@ -173,7 +174,7 @@
     auto go_back( std::string const& why ) -> bool;
     auto stop_looking() -> void;
     auto on_silent_lost( attempt_end const& end ) -> void;
-    auto blame( open_try const& from ) -> target_ref;
+    auto blame( target_attempt const& from ) -> target_ref;
     auto tolerated_silence() const -> core::duration;
     auto idle_silence() const -> core::duration;
     auto arm_watch() -> void;
@@ -182,8 +183,9 @@
     auto on_out_of_patience() -> void;
 
     auto note_failure( target_ref const& target ) -> void;
-    auto note_break( open_try const& which, attempt_end const& end ) -> void;
-    auto record_failure( open_try const& which,
+    auto note_break( target_attempt const& which, attempt_end const& end )
+        -> void;
+    auto record_failure( target_attempt const& which,
                          std::string why,
                          bool may_have_run,
                          std::string decision ) -> void;
@@ -193,11 +195,11 @@
     auto ends_as_quarantined( placement_grant const& grant,
                               std::shared_ptr<reservation_group> const& memory )
         -> bool;
-    auto close_try( bool cancel, work_outcome outcome = work_outcome::none )
+    auto close_attempt( bool cancel, work_outcome outcome = work_outcome::none )
         -> void;
     auto close_silent() -> void;
     auto close_all() -> void;
-    auto close( std::optional<open_try>& which,
+    auto close( std::optional<target_attempt>& which,
                 bool cancel,
                 work_outcome outcome ) -> void;
     auto refuse( int status,
@@ -240,11 +242,11 @@
     std::optional<pending_placement> ask_;
     std::size_t queued_behind_{ 0 }; ///< asks that wait where this one does
     core::duration last_ask_time_{ 0 };
-    std::optional<open_try> current_; ///< whose answer is passed on
+    std::optional<target_attempt> current_; ///< whose answer is passed on
     /// It was the current one and has fallen silent. It may live: it stays open
     /// until another one speaks, and is the current one again where it speaks
     /// first or no other place is to be had.
-    std::optional<open_try> silent_;
+    std::optional<target_attempt> silent_;
     std::optional<std::uint64_t> reserving_; ///< grant that waits for memory
     std::int64_t targets_reached_{ 0 };
     std::int64_t connects_failed_{ 0 };
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -32,14 +32,14 @@
 
 }
 
-auto exchange::streams( open_try const& which ) const -> bool
+auto exchange::streams( target_attempt const& which ) const -> bool
 {
     return route_->kind == request_kind::stream && which.head &&
            is_success( which.head->status );
 }
 
 /// True where a success has its digest and no half event at its end.
-auto exchange::is_whole( open_try const& from ) const -> bool
+auto exchange::is_whole( target_attempt const& from ) const -> bool
 {
     return !is_success( from.head->status ) ||
            ( from.head->has_seal &&
@@ -47,8 +47,8 @@
 }
 
 /// True where the target has given an answer that can be passed on.
-auto exchange::is_answer( open_try const& from, attempt_end const& end ) const
-    -> bool
+auto exchange::is_answer( target_attempt const& from,
+                          attempt_end const& end ) const -> bool
 {
     auto const& head = from.head;
     return end.complete && head && !head->wrong_target &&
@@ -56,7 +56,7 @@
            is_whole( from ) && ( !streaming_ || streams( from ) );
 }
 
-auto exchange::find_try( std::uint64_t serial ) -> open_try*
+auto exchange::find_attempt( std::uint64_t serial ) -> target_attempt*
 {
     for ( auto* const which : { &current_, &silent_ } )
         if ( *which && ( *which )->serial == serial )
@@ -66,7 +66,7 @@
 
 auto exchange::on_head( std::uint64_t serial, answer_head head ) -> void
 {
-    auto* const from = find_try( serial );
+    auto* const from = find_attempt( serial );
     if ( from == nullptr )
         return;
     from->heard_at = shared_.scheduler.now();
@@ -83,7 +83,7 @@
 
 auto exchange::on_body( std::uint64_t serial, std::string const& bytes ) -> void
 {
-    auto* const from = find_try( serial );
+    auto* const from = find_attempt( serial );
     if ( from == nullptr )
         return;
     if ( !streams( *from ) )
@@ -181,7 +181,7 @@
 
 auto exchange::on_end( std::uint64_t serial, attempt_end const& end ) -> void
 {
-    auto* const from = find_try( serial );
+    auto* const from = find_attempt( serial );
     if ( from == nullptr )
         return;
     if ( end.sent && !( from->head && from->head->proves_not_run ) )
@@ -233,7 +233,7 @@
         answer_->send_whole(
             { status, head.headers, std::move( current_->body ) } );
     }
-    close_try( false, work_outcome::served );
+    close_attempt( false, work_outcome::served );
     close_silent();
     shared_.counters.served.add();
     end( "served", status );
@@ -255,7 +255,7 @@
     // Sooner, and worth more to a caller, than what a silent target may say.
     answer_->send_whole(
         { status, current_->head->headers, std::move( current_->body ) } );
-    close_try( false );
+    close_attempt( false );
     close_silent();
     shared_.counters.failed.add();
     end( "target_failed", status );
@@ -271,7 +271,7 @@
         return;
     if ( streaming_ )
         return fail( status_bad_gateway, "resumption_refused" );
-    close_try( false );
+    close_attempt( false );
     if ( may_have_run_ )
         return fail( status_bad_gateway, "not_run_after_failure" );
     refuse( status_unavailable, "turned_away", retry_after_turned_away );
@@ -284,7 +284,7 @@
     if ( try_again( end.error.detail, end.sent, target.id ) ||
          go_back( end.error.detail ) )
         return;
-    close_try( true );
+    close_attempt( true );
     if ( may_have_run_ || streaming_ )
         return fail( status_bad_gateway,
                      is_quarantined() ? quarantined_reason : "target_lost" );
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -129,7 +129,7 @@
         choice.basis, configuration_->version, grant.decided_by,
         last_ask_time_ } );
 
-    current_ = open_try{};
+    current_ = target_attempt{};
     auto& opened = *current_;
     opened.serial = serial;
     opened.target = first.ref();
@@ -204,7 +204,7 @@
         tried.push_back( target );
 }
 
-auto exchange::record_failure( open_try const& which,
+auto exchange::record_failure( target_attempt const& which,
                                std::string why,
                                bool may_have_run,
                                std::string decision ) -> void
@@ -225,7 +225,7 @@
     if ( !again )
         return false;
     avoid( avoided );
-    close_try( true );
+    close_attempt( true );
     if ( connects_failed_ >= most_failed_connects )
         not_before_ = shared_.scheduler.now() + connect_pause;
     if ( !try_start() )
@@ -233,7 +233,7 @@
     return true;
 }
 
-auto exchange::close_try( bool cancel, work_outcome outcome ) -> void
+auto exchange::close_attempt( bool cancel, work_outcome outcome ) -> void
 {
     if ( current_ )
         watch_call_.reset();
@@ -247,11 +247,11 @@
 
 auto exchange::close_all() -> void
 {
-    close_try( true );
+    close_attempt( true );
     close_silent();
 }
 
-auto exchange::close( std::optional<open_try>& which,
+auto exchange::close( std::optional<target_attempt>& which,
                       bool cancel,
                       work_outcome outcome ) -> void
 {
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -21,8 +21,8 @@
 }
 
 /// Takes over what the target says of itself beside its answer.
-auto exchange::note_told_state( open_try const& from, answer_head const& head )
-    -> void
+auto exchange::note_told_state( target_attempt const& from,
+                                answer_head const& head ) -> void
 {
     auto const& target = from.target;
     shared_.crashes.note_answer( target, from.sent_at );
@@ -45,8 +45,8 @@
 }
 
 /// A failure says nothing of a limit where it names none.
-auto exchange::note_told_limit( open_try const& from, answer_head const& head )
-    -> void
+auto exchange::note_told_limit( target_attempt const& from,
+                                answer_head const& head ) -> void
 {
     auto const& target = from.target;
     if ( head.has_invalid_limit && shared_.loads.note_invalid_limit( target ) )
@@ -80,7 +80,7 @@
 
 /// A target has proved that it did not run the request. Returns the target to
 /// blame: the answering one, or a helper that it names.
-auto exchange::blame( open_try const& from ) -> target_ref
+auto exchange::blame( target_attempt const& from ) -> target_ref
 {
     auto const& head = *from.head;
     auto const now = shared_.scheduler.now();
@@ -115,7 +115,7 @@
 }
 
 /// Takes over that the answer has not come to its end.
-auto exchange::note_break( open_try const& which, attempt_end const& end )
+auto exchange::note_break( target_attempt const& which, attempt_end const& end )
     -> void
 {
     note_failure( which.target );
--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -57,7 +57,7 @@
     if ( !silent_ )
         return false;
     record_failure( *silent_, why, true, "go_back" );
-    close_try( true );
+    close_attempt( true );
     stop_looking();
     current_ = std::exchange( silent_, std::nullopt );
     current_->watched_from = shared_.scheduler.now();
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -557,7 +557,7 @@
             fleet_.scheduler.call_after( pause_before_retry,
                                          [&fleet = fleet_, call = call_, next]
                                          {
-                                             fleet.begin_try( next, call );
+                                             fleet.begin_attempt( next, call );
                                          } ) );
     }
 
@@ -702,12 +702,12 @@
     auto const which = std::make_shared<fleet_call>();
     which->path = std::move( path );
     which->body = std::move( body );
-    begin_try( number, which );
+    begin_attempt( number, which );
     return which;
 }
 
-auto exchange_fleet::begin_try( int number,
-                                std::shared_ptr<fleet_call> const& which )
+auto exchange_fleet::begin_attempt( int number,
+                                    std::shared_ptr<fleet_call> const& which )
     -> void
 {
     auto& where = instances_.at( static_cast<std::size_t>( number ) );
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -254,7 +254,7 @@
 
     auto list( exchange::target_properties const& properties ) -> void;
     auto unlist( core::target_id const& id ) -> void;
-    auto begin_try( int number, std::shared_ptr<fleet_call> const& which )
+    auto begin_attempt( int number, std::shared_ptr<fleet_call> const& which )
         -> void;
 
     std::vector<std::unique_ptr<fleet_instance>> instances_;
