--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -25,7 +25,7 @@
 auto sent_per_second( exchange::target_entry const& t, core::instant now )
     -> double
 {
-    return static_cast<double>( t.limit.sent_lately( now ) ) /
+    return static_cast<double>( t.limit.sent_in_window( now ) ) /
            core::seconds_of( exchange::sent_times::window );
 }
 
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -181,7 +181,8 @@
     set_times();
     demand_.latency_objective = route_->latency_objective;
     demand_.gap_objective = route_->gap_objective;
-    demand_.tightest_gap = configuration_->tightest_gap( demand_.service );
+    demand_.min_gap_objective =
+        configuration_->min_gap_objective( demand_.service );
     if ( request_.prompt )
     {
         demand_.prompt_tokens = request_.prompt->prompt_tokens;
@@ -254,7 +255,7 @@
 auto exchange::choose_here( core::instant now ) -> placement_result
 {
     auto demand = demand_;
-    demand.only_to_hear = true;
+    demand.only_to_probe_limits = true;
     demand.limits = shared_.placements.is_active_coordinator()
                         ? limit_use::for_all
                         : limit_use::uncoordinated;
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -142,7 +142,7 @@
     auto const limit = target.limit.per_second();
     auto const in_window =
         limit.value_or( 0 ) * core::seconds_of( sent_times::window );
-    auto const sent = static_cast<double>( target.limit.sent_lately( now ) );
+    auto const sent = static_cast<double>( target.limit.sent_in_window( now ) );
     return in_window - sent >= static_cast<double>( target.properties.slots );
 }
 
@@ -179,7 +179,7 @@
     -> bool
 {
     return prefill_ms( speed, demand.prompt_tokens ) >
-           ms_of( demand.tightest_gap ) * long_part_of_gap;
+           ms_of( demand.min_gap_objective ) * long_part_of_gap;
 }
 
 placement::placement( load_table const& loads,
@@ -200,8 +200,8 @@
             found.more = true;
         else if ( !t->may_get_work( now ) )
             found.ejected.push_back( t );
-        else if ( t->limit.per_second() &&
-                  ( demand.only_to_hear || !has_ample_limit( *t, now ) ) )
+        else if ( t->limit.per_second() && ( demand.only_to_probe_limits ||
+                                             !has_ample_limit( *t, now ) ) )
             found.limited.push_back( t );
         else
             found.free.push_back( t );
@@ -249,7 +249,7 @@
                         core::instant now ) const -> placement_result
 {
     auto const found = options( demand, now );
-    auto result = choose_unheard( found, demand, service, now );
+    auto result = choose_limit_probe( found, demand, service, now );
     if ( !result.choice )
         result = choose_in_turn( found, demand, service, now );
     if ( result.choice )
@@ -259,17 +259,18 @@
 
 /// A limited target that has got nothing for long, for a request that it serves
 /// alone: its answer tells whether it still needs its limit.
-auto placement::choose_unheard( target_options const& options,
-                                placement_demand const& demand,
-                                service_settings const& service,
-                                core::instant now ) const -> placement_result
+auto placement::choose_limit_probe( target_options const& options,
+                                    placement_demand const& demand,
+                                    service_settings const& service,
+                                    core::instant now ) const
+    -> placement_result
 {
     auto const is_small = !service.engine || demand.prompt_tokens == 0 ||
                           !is_long_prompt( *service.engine, demand );
     if ( options.free.empty() || !is_small || demand.crashes > 0 )
         return not_placed( placement_obstacle::full );
     for ( auto const& t : options.limited )
-        if ( t->limit.is_unheard( now ) )
+        if ( t->limit.is_limit_stale( now ) )
             return choose_from( { t }, demand, service, now );
     return not_placed( placement_obstacle::full );
 }
@@ -284,9 +285,10 @@
     auto result = not_placed( placement_obstacle::no_targets );
     if ( !options.free.empty() )
         result = choose_from( options.free, demand, service, now );
-    else if ( demand.only_to_hear && options.has_limited() )
+    else if ( demand.only_to_probe_limits && options.has_limited() )
         return not_placed( placement_obstacle::limited );
-    if ( !result.choice && !demand.only_to_hear && !options.limited.empty() )
+    if ( !result.choice && !demand.only_to_probe_limits &&
+         !options.limited.empty() )
     {
         auto all = options.free;
         all.insert( all.end(), options.limited.begin(), options.limited.end() );
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -22,8 +22,8 @@
     std::int64_t output_tokens{ 0 };
     core::duration latency_objective{ 0 };
     core::duration gap_objective{ 0 };
-    core::duration tightest_gap{ 0 }; ///< of all routes of the service
-    core::duration waited{ 0 };       ///< since the request came
+    core::duration min_gap_objective{ 0 }; ///< of all routes of the service
+    core::duration waited{ 0 };            ///< since the request came
     core::duration time_left{ 0 };
     core::duration patience_left{ 0 };  ///< until the caller leaves
     std::vector<core::target_id> tried; ///< not to be chosen again
@@ -33,7 +33,7 @@
     limit_use limits{ limit_use::for_all };
     /// Targets with limits are chosen only to hear whether these still hold;
     /// else they are to be asked for.
-    bool only_to_hear{ false };
+    bool only_to_probe_limits{ false };
     /// Targets that may have ended by runs of the same content.
     std::size_t crashes{ 0 };
     /// No other wide prompt waits.
@@ -156,10 +156,10 @@
         -> placement_result;
     [[nodiscard]] auto options( placement_demand const& demand,
                                 core::instant now ) const -> target_options;
-    [[nodiscard]] auto choose_unheard( target_options const& options,
-                                       placement_demand const& demand,
-                                       service_settings const& service,
-                                       core::instant now ) const
+    [[nodiscard]] auto choose_limit_probe( target_options const& options,
+                                           placement_demand const& demand,
+                                           service_settings const& service,
+                                           core::instant now ) const
         -> placement_result;
     [[nodiscard]] auto choose_in_turn( target_options const& options,
                                        placement_demand const& demand,
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -150,7 +150,7 @@
     for ( auto const& t : targets )
     {
         if ( !has_slot( speed, *t ) || free_memory( speed, *t ) < memory ||
-             t->backlog_ms( now ) > deepest_backlog_ms )
+             t->backlog_ms( now ) > max_backlog_ms )
             continue;
         fitting.push_back( reader_of( speed, t, part_ms, now ) );
     }
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -14,7 +14,7 @@
 
 /// Longest reading that may wait at the engine that answers a long prompt. It
 /// reads that prompt after all that it reads for others.
-inline constexpr auto deepest_backlog_ms = 1'500.0;
+inline constexpr auto max_backlog_ms = 1'500.0;
 
 /// The platform's engines take so many helpers at most beside the first.
 inline constexpr auto max_helpers = std::size_t{ 16 };
--- a/src/pollenstream/exchange/request_limit.cpp
+++ b/src/pollenstream/exchange/request_limit.cpp
@@ -68,7 +68,7 @@
     return pace_.rate() * share;
 }
 
-auto request_limit::is_unheard( core::instant now ) const -> bool
+auto request_limit::is_limit_stale( core::instant now ) const -> bool
 {
     auto const last = sent_.last();
     return per_second() && ( !last || now - *last >= longest_unheard );
--- a/src/pollenstream/exchange/request_limit.hpp
+++ b/src/pollenstream/exchange/request_limit.hpp
@@ -36,9 +36,9 @@
         return known_.held();
     }
     /// Requests of all instances in the last window, as far as this one knows.
-    [[nodiscard]] auto sent_lately( core::instant now ) const -> std::size_t
+    [[nodiscard]] auto sent_in_window( core::instant now ) const -> std::size_t
     {
-        return sent_.lately( now );
+        return sent_.count_within( now );
     }
     /// When the next request may be sent; long ago where there is no limit.
     [[nodiscard]] auto next( limit_use use, limit_shares const& shares ) const
@@ -48,7 +48,7 @@
         -> double;
     /// It has got nothing for so long that it cannot have said whether its
     /// limit still holds.
-    [[nodiscard]] auto is_unheard( core::instant now ) const -> bool;
+    [[nodiscard]] auto is_limit_stale( core::instant now ) const -> bool;
 
 private:
     known_limit known_;
--- a/src/pollenstream/exchange/routes.cpp
+++ b/src/pollenstream/exchange/routes.cpp
@@ -30,7 +30,7 @@
 
 auto route_configuration::index_gaps() -> void
 {
-    tightest_gap_.clear();
+    min_gap_objective_.clear();
     for ( auto const& r : routes )
     {
         if ( r.kind != request_kind::stream )
@@ -38,7 +38,8 @@
         for ( auto const& s : r.services )
         {
             auto const entry =
-                tightest_gap_.try_emplace( s.service, r.gap_objective ).first;
+                min_gap_objective_.try_emplace( s.service, r.gap_objective )
+                    .first;
             entry->second = std::min( entry->second, r.gap_objective );
         }
     }
@@ -64,11 +65,12 @@
     return found == by_key_.end() ? nullptr : &workspaces_[found->second];
 }
 
-auto route_configuration::tightest_gap( core::service_id const& id ) const
+auto route_configuration::min_gap_objective( core::service_id const& id ) const
     -> core::duration
 {
-    auto const found = tightest_gap_.find( id );
-    return found == tightest_gap_.end() ? core::duration( 0 ) : found->second;
+    auto const found = min_gap_objective_.find( id );
+    return found == min_gap_objective_.end() ? core::duration( 0 )
+                                             : found->second;
 }
 
 auto route_configuration::find_service( core::service_id const& id ) const
--- a/src/pollenstream/exchange/routes.hpp
+++ b/src/pollenstream/exchange/routes.hpp
@@ -71,8 +71,8 @@
     std::int64_t prefill_chunk{ 1 };    ///< tokens read in one step at most
     std::int64_t steps_per_pass{ 1 };
     double hop_ms{ 0 }; ///< added to a step where the prompt is spread
-    double usual_prompt_tokens{ 0 };
-    double usual_output_tokens{ 0 };
+    double typical_prompt_tokens{ 0 };
+    double typical_output_tokens{ 0 };
 };
 
 /// What the configuration says of a service.
@@ -125,7 +125,7 @@
         -> workspace_settings const*;
     /// The shortest pause objective of the streams that `id` serves; zero
     /// where it serves none.
-    [[nodiscard]] auto tightest_gap( core::service_id const& id ) const
+    [[nodiscard]] auto min_gap_objective( core::service_id const& id ) const
         -> core::duration;
     [[nodiscard]] auto find_service( core::service_id const& id ) const
         -> service_settings const*;
@@ -134,7 +134,7 @@
     auto index_gaps() -> void;
 
     std::unordered_map<std::string, std::vector<std::size_t>> by_host_;
-    std::unordered_map<core::service_id, core::duration> tightest_gap_;
+    std::unordered_map<core::service_id, core::duration> min_gap_objective_;
     std::vector<workspace_settings> workspaces_;
     std::unordered_map<std::string, std::size_t> by_key_;
 };
--- a/src/pollenstream/exchange/sent_times.cpp
+++ b/src/pollenstream/exchange/sent_times.cpp
@@ -29,7 +29,7 @@
     return { first_within( now ), times_.end() };
 }
 
-auto sent_times::lately( core::instant now ) const -> std::size_t
+auto sent_times::count_within( core::instant now ) const -> std::size_t
 {
     return static_cast<std::size_t>( times_.end() - first_within( now ) );
 }
--- a/src/pollenstream/exchange/sent_times.hpp
+++ b/src/pollenstream/exchange/sent_times.hpp
@@ -28,7 +28,7 @@
     /// Those in the window that ends now, and their number.
     [[nodiscard]] auto within( core::instant now ) const
         -> std::vector<core::instant>;
-    [[nodiscard]] auto lately( core::instant now ) const -> std::size_t;
+    [[nodiscard]] auto count_within( core::instant now ) const -> std::size_t;
     /// When fewer than `most`, which is at least one, are in the window.
     [[nodiscard]] auto fewer_than( std::size_t most ) const -> core::instant;
 
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -102,7 +102,7 @@
                           d.service.str(), d.prompt_tokens, d.output_tokens,
                           core::milliseconds_of( d.latency_objective ),
                           core::milliseconds_of( d.gap_objective ),
-                          core::milliseconds_of( d.tightest_gap ),
+                          core::milliseconds_of( d.min_gap_objective ),
                           core::milliseconds_of( d.waited ),
                           core::milliseconds_of( d.time_left ),
                           core::milliseconds_of( d.patience_left ),
@@ -125,7 +125,7 @@
     d.output_tokens = object.at( at++ ).get<std::int64_t>();
     d.latency_objective = ms_from_json( object.at( at++ ) );
     d.gap_objective = ms_from_json( object.at( at++ ) );
-    d.tightest_gap = ms_from_json( object.at( at++ ) );
+    d.min_gap_objective = ms_from_json( object.at( at++ ) );
     d.waited = ms_from_json( object.at( at++ ) );
     d.time_left = ms_from_json( object.at( at++ ) );
     d.patience_left = ms_from_json( object.at( at++ ) );
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -38,7 +38,7 @@
         auto const is_short = tokens < 10'000;
         what.demand.latency_objective = is_short ? 300ms : 3s;
         what.demand.gap_objective = is_short ? 200ms : 800ms;
-        what.demand.tightest_gap = 200ms;
+        what.demand.min_gap_objective = 200ms;
         what.demand.time_left = 15s;
         what.demand.patience_left = 12s;
         auto const answer = std::make_shared<recorded_placement>();
@@ -209,7 +209,7 @@
     repeat.demand.output_tokens = 1'000;
     repeat.demand.latency_objective = 200ms;
     repeat.demand.gap_objective = 200ms;
-    repeat.demand.tightest_gap = 200ms;
+    repeat.demand.min_gap_objective = 200ms;
     repeat.demand.time_left = 15s;
     repeat.demand.patience_left = 12s;
     repeat.may_be_refused = false;
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -33,7 +33,7 @@
         demand.output_tokens = 1'600;
         demand.latency_objective = gap == 200ms ? 300ms : 3s;
         demand.gap_objective = gap;
-        demand.tightest_gap = 200ms;
+        demand.min_gap_objective = 200ms;
         demand.waited = waited;
         demand.time_left = 10s;
         demand.patience_left = patience;
--- a/tests/peers/placement_router_test.cpp
+++ b/tests/peers/placement_router_test.cpp
@@ -68,7 +68,7 @@
         what.demand.output_tokens = 1'000;
         what.demand.latency_objective = 300ms;
         what.demand.gap_objective = 200ms;
-        what.demand.tightest_gap = 200ms;
+        what.demand.min_gap_objective = 200ms;
         what.demand.time_left = 10s;
         what.demand.patience_left = 2s;
         return requester.request( std::move( what ), heard );
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -299,7 +299,7 @@
     CHECK( c.limits.header_bytes == 100 );
     REQUIRE( c.find_workspace( "k2" ) != nullptr );
     CHECK( c.find_workspace( "k2" )->priority == 2 );
-    CHECK( c.tightest_gap( core::service_id( "s1" ) ) == 200ms );
+    CHECK( c.min_gap_objective( core::service_id( "s1" ) ) == 200ms );
     CHECK( records.read_configuration( "{}" ).has_error() );
     CHECK( records.read_configuration( "no json" ).has_error() );
 }
