--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -83,7 +83,7 @@
     placement_obstacle reason{ placement_obstacle::no_targets };
 };
 
-struct long_reader;
+struct prefill_candidate;
 
 /// No choice, for `reason`.
 inline auto not_placed( placement_obstacle reason ) -> placement_result
@@ -197,7 +197,7 @@
                                              double part_ms,
                                              double draw,
                                              core::instant now ) const
-        -> std::optional<long_reader>;
+        -> std::optional<prefill_candidate>;
     [[nodiscard]] auto choose_reserved( placement_demand const& demand,
                                         engine_speed const& speed,
                                         candidates const& targets,
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -70,7 +70,7 @@
     -> placement_choice
 {
     auto choice = placement_choice{};
-    for ( auto const& r : divided.readers )
+    for ( auto const& r : divided.engines )
     {
         choice.targets.push_back( r.target );
         choice.parts.push_back(
@@ -115,17 +115,17 @@
                                                   part_ms, demand.draw, now );
         if ( !writer )
             break;
-        auto readers = readers_of( speed, targets, part_ms, 0, now );
-        std::erase_if( readers,
+        auto engines = prefill_candidates_of( speed, targets, part_ms, 0, now );
+        std::erase_if( engines,
                        [&]( auto const& r )
                        {
                            return r.target == writer->target;
                        } );
-        if ( readers.size() + 1 < parts )
+        if ( engines.size() + 1 < parts )
             break;
-        readers.resize( parts - 1 );
-        readers.insert( readers.begin(), *writer );
-        take_better( best, std::move( readers ), part_ms, limit );
+        engines.resize( parts - 1 );
+        engines.insert( engines.begin(), *writer );
+        take_better( best, std::move( engines ), part_ms, limit );
         if ( part_ms < part_goal_ms )
             break;
     }
@@ -144,15 +144,15 @@
                                       double part_ms,
                                       double draw,
                                       core::instant now ) const
-    -> std::optional<long_reader>
+    -> std::optional<prefill_candidate>
 {
-    auto fitting = std::vector<long_reader>{};
+    auto fitting = std::vector<prefill_candidate>{};
     for ( auto const& t : targets )
     {
         if ( !has_slot( speed, *t ) || free_memory( speed, *t ) < memory ||
              t->backlog_ms( now ) > max_backlog_ms )
             continue;
-        fitting.push_back( reader_of( speed, t, part_ms, now ) );
+        fitting.push_back( prefill_candidate_of( speed, t, part_ms, now ) );
     }
     if ( fitting.empty() )
         return std::nullopt;
@@ -194,14 +194,14 @@
         auto const part_ms = total / static_cast<double>( parts );
         if ( part_ms > most_part )
             continue;
-        auto readers = readers_of( speed, targets, part_ms,
-                                   part_memory( memory, parts ), now );
-        if ( readers.size() < parts )
+        auto engines = prefill_candidates_of(
+            speed, targets, part_ms, part_memory( memory, parts ), now );
+        if ( engines.size() < parts )
             continue;
-        readers.resize( parts );
-        if ( !has_slot( speed, *readers.front().target ) )
+        engines.resize( parts );
+        if ( !has_slot( speed, *engines.front().target ) )
             continue;
-        take_better( best, std::move( readers ), part_ms, limit );
+        take_better( best, std::move( engines ), part_ms, limit );
         if ( part_ms < part_goal_ms )
             break;
     }
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -64,7 +64,8 @@
 /// Least harm first, then engines away from those who tolerate least, then
 /// engines that write nothing, then the end of the order that short prompts
 /// fill last.
-auto goes_before( long_reader const& a, long_reader const& b ) -> bool
+auto goes_before( prefill_candidate const& a, prefill_candidate const& b )
+    -> bool
 {
     auto const a_writes = a.target->load.requests > 0;
     auto const b_writes = b.target->load.requests > 0;
@@ -101,10 +102,10 @@
 
 }
 
-auto reader_of( engine_speed const& speed,
-                std::shared_ptr<target_entry> const& t,
-                double part_ms,
-                core::instant now ) -> long_reader
+auto prefill_candidate_of( engine_speed const& speed,
+                           std::shared_ptr<target_entry> const& t,
+                           double part_ms,
+                           core::instant now ) -> prefill_candidate
 {
     auto const backlog = t->backlog_ms( now );
     auto const pause =
@@ -112,22 +113,24 @@
     return { t, backlog, harmed_by( *t, pause ), tightest_weight( *t ) };
 }
 
-auto readers_of( engine_speed const& speed,
-                 std::vector<std::shared_ptr<target_entry>> const& targets,
-                 double part_ms,
-                 std::int64_t memory,
-                 core::instant now ) -> std::vector<long_reader>
+auto prefill_candidates_of(
+    engine_speed const& speed,
+    std::vector<std::shared_ptr<target_entry>> const& targets,
+    double part_ms,
+    std::int64_t memory,
+    core::instant now ) -> std::vector<prefill_candidate>
 {
-    auto readers = std::vector<long_reader>{};
+    auto engines = std::vector<prefill_candidate>{};
     for ( auto const& t : targets )
         if ( t->load.own_parts_prefilling == 0 && t->backlog_ms( now ) <= 0 &&
              free_memory( speed, *t ) >= memory )
-            readers.push_back( reader_of( speed, t, part_ms, now ) );
-    std::sort( readers.begin(), readers.end(), goes_before );
-    return readers;
+            engines.push_back( prefill_candidate_of( speed, t, part_ms, now ) );
+    std::sort( engines.begin(), engines.end(), goes_before );
+    return engines;
 }
 
-auto writes_better( long_reader const& a, long_reader const& b ) -> bool
+auto writes_better( prefill_candidate const& a, prefill_candidate const& b )
+    -> bool
 {
     if ( a.harm != b.harm )
         return a.harm < b.harm;
@@ -167,26 +170,26 @@
 }
 
 auto take_better( std::optional<division>& best,
-                  std::vector<long_reader> readers,
+                  std::vector<prefill_candidate> engines,
                   double part_ms,
                   harm_limit limit ) -> void
 {
     auto harm = 0.0;
     auto backlog = 0.0;
-    for ( auto const& r : readers )
+    for ( auto const& r : engines )
     {
         harm += r.harm;
         backlog = std::max( backlog, r.backlog_ms );
     }
     auto const finish = backlog + part_ms;
-    if ( finish > latest_for( limit, readers.size() ) ||
+    if ( finish > latest_for( limit, engines.size() ) ||
          harm > ( finish <= limit.until_ms ? limit.weight : 0 ) )
         return;
     auto const more_parts =
-        best ? static_cast<double>( readers.size() - best->readers.size() )
+        best ? static_cast<double>( engines.size() - best->engines.size() )
              : 0.0;
     if ( !best || finish + limit.part_cost_ms * more_parts < best->finish_ms )
-        best = division{ std::move( readers ), part_ms, finish };
+        best = division{ std::move( engines ), part_ms, finish };
 }
 
 }
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -27,7 +27,7 @@
 }
 
 /// An engine that may read a part of a long prompt.
-struct long_reader
+struct prefill_candidate
 {
     std::shared_ptr<target_entry> target;
     double backlog_ms{ 0 };
@@ -38,7 +38,7 @@
 /// A way to divide a long prompt among engines; the first writes.
 struct division
 {
-    std::vector<long_reader> readers;
+    std::vector<prefill_candidate> engines;
     double part_ms{ 0 };
     double finish_ms{ 0 }; ///< when the last part is read
 };
@@ -60,10 +60,10 @@
 
 /// The reader that `t` would be for a part of `part_ms`, with what that does to
 /// the requests there.
-auto reader_of( engine_speed const& speed,
-                std::shared_ptr<target_entry> const& t,
-                double part_ms,
-                core::instant now ) -> long_reader;
+auto prefill_candidate_of( engine_speed const& speed,
+                           std::shared_ptr<target_entry> const& t,
+                           double part_ms,
+                           core::instant now ) -> prefill_candidate;
 
 /// The engines that may read a part for another, best first; each has
 /// `memory` free and nothing to read.
@@ -76,16 +76,18 @@
 /// 250 ms or being sent to booked ones, gains 0.03 of worth there (eight calm
 /// days; error 0.009); on 14 to 18 engines it is within the error of 0.006 (30
 /// days with trouble).
-auto readers_of( engine_speed const& speed,
-                 std::vector<std::shared_ptr<target_entry>> const& targets,
-                 double part_ms,
-                 std::int64_t memory,
-                 core::instant now ) -> std::vector<long_reader>;
+auto prefill_candidates_of(
+    engine_speed const& speed,
+    std::vector<std::shared_ptr<target_entry>> const& targets,
+    double part_ms,
+    std::int64_t memory,
+    core::instant now ) -> std::vector<prefill_candidate>;
 
 /// Least harm, then away from those who tolerate least, then where little is
 /// read, then where most is written already, so that other engines stay free
 /// to read.
-auto writes_better( long_reader const& a, long_reader const& b ) -> bool;
+auto writes_better( prefill_candidate const& a, prefill_candidate const& b )
+    -> bool;
 
 /// Nothing while the request can wait, and nothing once it is late itself, but
 /// for the last chance: an answer that never comes is worse than a few late
@@ -93,10 +95,10 @@
 auto harm_allowed( placement_demand const& demand, std::size_t engines )
     -> harm_limit;
 
-/// Puts the division of a prompt among `readers` into `best` if it harms no
+/// Puts the division of a prompt among `engines` into `best` if it harms no
 /// more than `limit` and ends sooner by more than its parts cost.
 auto take_better( std::optional<division>& best,
-                  std::vector<long_reader> readers,
+                  std::vector<prefill_candidate> engines,
                   double part_ms,
                   harm_limit limit ) -> void;
 
