--- a/src/pollenstream/adapters/thrift/peer_codec.cpp
+++ b/src/pollenstream/adapters/thrift/peer_codec.cpp
@@ -13,7 +13,7 @@
 {
     auto w = wire::member{};
     w.id = m.id.str();
-    w.data_centre = m.data_centre.str();
+    w.place = m.data_centre.str();
     w.callers = core::to_string( m.callers );
     w.peers = core::to_string( m.peers );
     w.incarnation = m.incarnation.count();
@@ -41,7 +41,7 @@
         return peers.error();
     auto m = membership::member{};
     m.id = core::instance_id( w.id );
-    m.data_centre = core::data_centre_id( w.data_centre );
+    m.data_centre = core::data_centre_id( w.place );
     m.callers = callers.value();
     m.peers = peers.value();
     m.incarnation = core::incarnation( w.incarnation );
