--- a/tests/registry/target_entries_test.cpp
+++ b/tests/registry/target_entries_test.cpp
@@ -172,7 +172,7 @@
     work.parts[0].lifetime = core::target_lifetime( 1'000 );
     f.loads.add_work( core::instance_id( "other" ), work, now );
     CHECK( fresh->may_get_work( now ) );
-    CHECK_FALSE( fresh->told );
+    CHECK_FALSE( fresh->reported );
     CHECK( fresh->load.requests == 0 );
 }
 
