--- a/apps/daemon/node.cpp
+++ b/apps/daemon/node.cpp
@@ -185,8 +185,8 @@
         listing_ = std::move( *fetched.value() );
     // Taken over each time: what this instance watches follows the
     // configuration too.
-    members_.learn_listed( listing_.instances, clock_.now() );
-    watch_->take_listing( listing_ );
+    members_.add_listed( listing_.instances, clock_.now() );
+    watch_->apply_listing( listing_ );
     return list_period;
 }
 
--- a/bench/capacity_rows.cpp
+++ b/bench/capacity_rows.cpp
@@ -284,7 +284,7 @@
         [&]
         {
             auto const& each = spaces[next++ % spaces.size()];
-            auto const part = membership::part_of_limits(
+            auto const part = membership::limit_share(
                 each.id, core::instance_id( "entry-instance-7" ), alive, 3 );
             return limits
                 .take( each, part, core::token_count( 1 ), core::instant( 2s ) )
--- a/src/pollenstream/admission/workspace_limits.hpp
+++ b/src/pollenstream/admission/workspace_limits.hpp
@@ -15,7 +15,7 @@
 
 /// This instance's part of each workspace's limits. `part` is the share of
 /// the whole limit that this instance may hand out, from 0 to 1; the homes of
-/// a workspace divide it between them (see `membership::workspace_homes`).
+/// a workspace divide it between them (see `membership::limit_owners`).
 class workspace_limits
 {
 public:
--- a/src/pollenstream/membership/heartbeater.cpp
+++ b/src/pollenstream/membership/heartbeater.cpp
@@ -10,15 +10,16 @@
 namespace
 {
 
-/// Peers in one round. Two of them let news reach a fleet of 410 within ten
-/// rounds; see docs/MEMBERSHIP.md.
+/// Peers per round. With two, an update reaches all of 410 instances within
+/// ten rounds; see docs/MEMBERSHIP.md.
 constexpr auto peers_per_round = std::size_t{ 2 };
-/// News can miss an instance by chance; a full table now and then repairs it.
+/// Peers are drawn at random, so an update can miss an instance. A periodic
+/// exchange of the full table repairs that.
 constexpr auto rounds_between_full_exchanges = 60;
-/// One that is held for gone is tried this often.
-constexpr auto rounds_between_probes = 5;
-/// Members in one heartbeat, which bounds its size.
-constexpr auto most_changes = std::size_t{ 12 };
+/// Interval at which an instance considered gone is contacted.
+constexpr auto rounds_between_gone_probes = 5;
+/// Updates in one heartbeat, which bounds its size; a full exchange has more.
+constexpr auto max_changes = std::size_t{ 12 };
 
 }
 
@@ -35,16 +36,19 @@
 auto heartbeater::run_round() -> void
 {
     ++rounds_;
-    auto const asks_all =
-        is_new_.load() || rounds_ % rounds_between_full_exchanges == 0;
-    auto asks_this_one = asks_all;
+    auto const is_full_round = needs_full_exchange_.load() ||
+                               rounds_ % rounds_between_full_exchanges == 0;
+    auto wants_all = is_full_round;
     for ( auto const& peer : members_.pick_peers( peers_per_round ) )
     {
-        exchange_with( peer, asks_this_one );
-        asks_this_one = is_new_.load();
+        exchange_with( peer, wants_all );
+        // One full table per round is enough; a new instance requests it until
+        // an exchange succeeds.
+        wants_all = needs_full_exchange_.load();
     }
-    // Two that hold each other for gone would never meet again.
-    auto const gone = rounds_ % rounds_between_probes == 0
+    // Two instances that consider each other gone would never exchange
+    // heartbeats again without these probes.
+    auto const gone = rounds_ % rounds_between_gone_probes == 0
                           ? members_.pick_gone()
                           : std::nullopt;
     if ( gone )
@@ -52,69 +56,69 @@
     members_.expire( clock_.now() );
 }
 
-auto heartbeater::exchange_with( member const& peer, bool everything ) -> void
+auto heartbeater::exchange_with( member const& peer, bool wants_all ) -> void
 {
-    auto mine = compose( false );
-    mine.wants_all = everything;
-    auto theirs = peers_.exchange( peer.peers, mine );
-    // One lost connection is not a dead peer: a second one decides.
-    if ( !theirs )
-        theirs = peers_.exchange( peer.peers, mine );
-    if ( !theirs )
+    auto request = compose( false );
+    request.wants_all = wants_all;
+    auto reply = peers_.exchange( peer.peers, request );
+    // A single lost connection does not mean that the peer is down: retry once.
+    if ( !reply )
+        reply = peers_.exchange( peer.peers, request );
+    if ( !reply )
     {
         silences.add();
-        members_.note_silence( peer.id, clock_.now() );
+        members_.note_unreachable( peer.id, clock_.now() );
         return;
     }
     exchanges.add();
-    is_new_.store( false );
-    take_in( theirs.value() );
-    if ( theirs.value().revision > holder_.revision() )
-        catch_up( peer );
+    needs_full_exchange_.store( false );
+    merge_heartbeat( reply.value() );
+    if ( reply.value().revision > holder_.revision() )
+        fetch_newer_configuration( peer );
 }
 
 auto heartbeater::announce() -> void
 {
     for ( auto const& peer : members_.alive() )
     {
-        auto const told = peers_.exchange( peer.peers, compose( false ) );
-        if ( told )
-            take_in( told.value() );
+        auto const reply = peers_.exchange( peer.peers, compose( false ) );
+        if ( reply )
+            merge_heartbeat( reply.value() );
     }
 }
 
-auto heartbeater::compose( bool everything ) -> ports::heartbeat
+auto heartbeater::compose( bool include_all ) -> ports::heartbeat
 {
-    auto mine = ports::heartbeat{};
-    mine.sender = members_.self();
-    mine.changes =
-        everything ? members_.all() : members_.take_changes( most_changes );
-    mine.revision = holder_.revision();
-    mine.fingerprint = holder_.fingerprint();
-    return mine;
+    auto composed = ports::heartbeat{};
+    composed.sender = members_.self();
+    composed.changes =
+        include_all ? members_.all() : members_.take_changes( max_changes );
+    composed.revision = holder_.revision();
+    composed.fingerprint = holder_.fingerprint();
+    return composed;
 }
 
-auto heartbeater::take_in( ports::heartbeat const& theirs ) -> void
+auto heartbeater::merge_heartbeat( ports::heartbeat const& received ) -> void
 {
     auto const now = clock_.now();
-    members_.merge( theirs.sender, now );
-    for ( auto const& each : theirs.changes )
+    members_.merge( received.sender, now );
+    for ( auto const& each : received.changes )
         members_.merge( each, now );
 }
 
-auto heartbeater::catch_up( member const& peer ) -> void
+auto heartbeater::fetch_newer_configuration( member const& peer ) -> void
 {
-    auto const mine = holder_.bundle();
-    auto known = state::document_texts{}; // by hash
+    auto const own = holder_.bundle();
+    auto texts_by_hash = state::document_texts{};
     auto hashes = std::vector<std::string>{};
-    for ( auto const& [name, hash] : mine.head.documents )
+    for ( auto const& [name, hash] : own.head.documents )
     {
-        known[hash] = mine.texts.at( name );
+        texts_by_hash[hash] = own.texts.at( name );
         hashes.push_back( hash );
     }
     auto const fetched =
-        peers_.fetch_configuration( peer.peers, mine.head.revision, hashes );
-    if ( !fetched || fetched.value().revision <= mine.head.revision )
+        peers_.fetch_configuration( peer.peers, own.head.revision, hashes );
+    if ( !fetched || fetched.value().revision <= own.head.revision )
         return;
     auto head = codec_.read_head( fetched.value().head );
     if ( !head )
@@ -122,9 +126,9 @@
     auto bundle = state::configuration_bundle{ std::move( head.value() ), {} };
     for ( auto const& [name, hash] : bundle.head.documents )
     {
-        auto const at = known.find( hash );
-        if ( at != known.end() )
-            bundle.texts[name] = at->second;
+        auto const known = texts_by_hash.find( hash );
+        if ( known != texts_by_hash.end() )
+            bundle.texts[name] = known->second;
     }
     for ( auto const& each : fetched.value().documents )
         bundle.texts[each.name] = each.text;
@@ -133,16 +137,17 @@
         configurations_from_peers.add();
 }
 
-auto heartbeater::answer( ports::heartbeat const& theirs ) -> ports::heartbeat
+auto heartbeater::answer( ports::heartbeat const& received ) -> ports::heartbeat
 {
-    take_in( theirs );
-    auto mine = compose( theirs.wants_all );
-    // Who is held for suspect or gone here has to hear it, or it cannot refute
-    // once the news of it is no longer passed on.
-    auto const sender = members_.find( theirs.sender.id );
-    if ( sender && sender->phase != theirs.sender.phase )
-        mine.changes.push_back( *sender );
-    return mine;
+    merge_heartbeat( received );
+    auto reply = compose( received.wants_all );
+    // A sender that is considered suspect or gone here must learn of it from
+    // this reply: it can only refute a claim that it has seen, and updates are
+    // gossiped a limited number of times.
+    auto const sender = members_.find( received.sender.id );
+    if ( sender && sender->phase != received.sender.phase )
+        reply.changes.push_back( *sender );
+    return reply;
 }
 
 auto heartbeater::answer_fetch( core::revision newer_than,
--- a/src/pollenstream/membership/heartbeater.hpp
+++ b/src/pollenstream/membership/heartbeater.hpp
@@ -13,10 +13,10 @@
 namespace pollenstream::membership
 {
 
-/// Exchanges heartbeats with a few peers each round, and takes a newer
-/// configuration from a peer that has one. With this an accepted change
-/// reaches instances whose watch at the store has died, and new ones in an
-/// outage of the store.
+/// Exchanges heartbeats with a few peers each round, and fetches the
+/// configuration of a peer that has a newer one. An accepted change thus also
+/// reaches instances whose watch on the store has died, and instances that
+/// start during an outage of the store.
 class heartbeater
 {
 public:
@@ -26,36 +26,39 @@
                  ports::peer_client& peers,
                  ports::clock const& clock );
 
-    /// One round; blocks for as long as the calls take.
+    /// Runs one round; blocks until its calls have finished.
     auto run_round() -> void;
 
-    /// Tells every peer at once what this instance is now: a planned stop must
-    /// not wait for news to get around.
+    /// Sends a heartbeat to every alive peer, one after the other. Used for a
+    /// planned stop, which must not wait for gossip to spread.
     auto announce() -> void;
 
-    /// Answers a peer's heartbeat.
-    auto answer( ports::heartbeat const& theirs ) -> ports::heartbeat;
-    /// Answers a peer that asks for a newer configuration.
+    /// Handles a peer's heartbeat and returns the reply.
+    auto answer( ports::heartbeat const& received ) -> ports::heartbeat;
+    /// Returns the configuration in force, without the documents whose hashes
+    /// the peer knows; revision 0 if it is not newer than `newer_than`.
     auto answer_fetch( core::revision newer_than,
                        std::vector<std::string> const& known_hashes )
         -> ports::peer_configuration;
 
     core::counter exchanges;
-    core::counter silences;
+    core::counter silences; ///< exchanges that failed, their retry included
     core::counter configurations_from_peers;
 
 private:
-    auto compose( bool everything ) -> ports::heartbeat;
-    auto take_in( ports::heartbeat const& theirs ) -> void;
-    auto catch_up( member const& peer ) -> void;
-    auto exchange_with( member const& peer, bool everything ) -> void;
+    auto compose( bool include_all ) -> ports::heartbeat;
+    auto merge_heartbeat( ports::heartbeat const& received ) -> void;
+    auto fetch_newer_configuration( member const& peer ) -> void;
+    auto exchange_with( member const& peer, bool wants_all ) -> void;
 
     member_table& members_;
     state::configuration_holder& holder_;
     ports::configuration_codec const& codec_;
     ports::peer_client& peers_;
     ports::clock const& clock_;
-    std::atomic<bool> is_new_{ true };
+    /// True until the first exchange succeeds: a new instance requests the
+    /// full table.
+    std::atomic<bool> needs_full_exchange_{ true };
     std::int64_t rounds_{ 0 };
 };
 
--- a/src/pollenstream/membership/member.cpp
+++ b/src/pollenstream/membership/member.cpp
@@ -21,13 +21,13 @@
     return "unnamed";
 }
 
-auto is_newer( member const& news, member const& known ) -> bool
+auto is_newer( member const& update, member const& known ) -> bool
 {
-    auto const order = []( member const& m )
+    auto const precedence = []( member const& m )
     {
         return std::tuple( m.incarnation, m.version, m.phase );
     };
-    return order( news ) > order( known );
+    return precedence( update ) > precedence( known );
 }
 
 }
--- a/src/pollenstream/membership/member.hpp
+++ b/src/pollenstream/membership/member.hpp
@@ -10,34 +10,34 @@
 namespace pollenstream::membership
 {
 
-/// What is known of an instance. At one version a later phase goes before an
-/// earlier one.
+/// Liveness of an instance. Among updates of the same incarnation and version
+/// the later enumerator wins, so the order of the enumerators matters.
 enum class member_phase : int
 {
     alive,
-    suspect, ///< did not answer; it may refute
+    suspect, ///< did not reply; gone unless it refutes
     leaving, ///< in a planned stop
     gone,
 };
 
-/// Name in dumps: `alive`, `suspect`, `leaving` or `gone`.
+/// Name in state dumps: `alive`, `suspect`, `leaving` or `gone`.
 auto name_of( member_phase phase ) -> std::string_view;
 
-/// One instance as far as it is known.
+/// What one instance knows of an instance of the fleet; the unit of gossip.
 struct member
 {
     core::instance_id id;
     core::place_id place;
-    core::address callers;
-    core::address peers;
+    core::address callers; ///< where callers connect
+    core::address peers;   ///< where other instances connect
     core::incarnation incarnation;
-    std::int64_t version{ 0 }; ///< raised by the instance itself, to refute
+    std::int64_t version{ 0 }; ///< raised only by the instance itself
     member_phase phase{ member_phase::alive };
     std::int64_t open_requests{ 0 };
 };
 
-/// True where `news` says something later than `known` about one instance.
-auto is_newer( member const& news, member const& known ) -> bool;
+/// True if `update` supersedes `known`; both describe the same instance.
+auto is_newer( member const& update, member const& known ) -> bool;
 
 }
 
--- a/src/pollenstream/membership/member_table.cpp
+++ b/src/pollenstream/membership/member_table.cpp
@@ -13,14 +13,14 @@
 
 using namespace std::chrono_literals;
 
-/// How long a suspect may take to refute.
-constexpr auto refute_time = core::duration( 4s );
-/// How long a gone instance is remembered, so that late news of it does not
-/// bring it back.
-constexpr auto remember_gone = core::duration( 10min );
-/// Each piece of news is passed on this many times the logarithm of the
-/// fleet's size; with two exchanges a second nearly all instances then hear it.
-constexpr auto passes_per_log = 3.0;
+/// A suspect that has not refuted after this time is gone.
+constexpr auto suspect_timeout = core::duration( 4s );
+/// Time for which a gone instance is kept, so that late updates about it do not
+/// add it again.
+constexpr auto gone_retention = core::duration( 10min );
+/// Each update is sent to peers this many times the binary logarithm of the
+/// fleet's size. With two exchanges a second, nearly all instances receive it.
+constexpr auto transmissions_per_log = 3.0;
 
 }
 
@@ -28,27 +28,28 @@
     : self_( self.id ), random_( seed )
 {
     records_[self_] = record{ std::move( self ), core::instant{}, 0 };
-    records_[self_].passes_left = passes();
+    records_[self_].transmissions_left = transmission_limit();
 }
 
-auto member_table::passes() const -> int
+auto member_table::transmission_limit() const -> int
 {
     auto const size = static_cast<double>( records_.size() + 1 );
-    return static_cast<int>( std::ceil( passes_per_log * std::log2( size ) ) );
+    return static_cast<int>(
+        std::ceil( transmissions_per_log * std::log2( size ) ) );
 }
 
-auto member_table::store( member const& news, core::instant now ) -> void
+auto member_table::store( member const& update, core::instant now ) -> void
 {
-    auto& known = records_[news.id];
-    auto const same_phase = known.what.phase == news.phase &&
-                            known.what.incarnation == news.incarnation;
+    auto& known = records_[update.id];
+    auto const same_phase = known.latest.phase == update.phase &&
+                            known.latest.incarnation == update.incarnation;
     if ( !same_phase )
-        known.since = now;
-    known.what = news;
-    known.passes_left = passes();
+        known.phase_since = now;
+    known.latest = update;
+    known.transmissions_left = transmission_limit();
 }
 
-auto member_table::learn_listed(
+auto member_table::add_listed(
     std::vector<ports::listed_instance> const& listed, core::instant now )
     -> void
 {
@@ -58,64 +59,64 @@
         auto const known = records_.find( each.id );
         if ( known != records_.end() )
             continue;
-        auto named = member{ each.id, each.place, each.callers, each.peers };
+        auto added = member{ each.id, each.place, each.callers, each.peers };
         if ( each.state == ports::listed_state::leaving )
-            named.phase = member_phase::leaving;
-        store( named, now );
-        // The list told everybody; only direct news is passed on.
-        records_[each.id].passes_left = 0;
-        records_[each.id].since = now;
+            added.phase = member_phase::leaving;
+        store( added, now );
+        // Every instance reads the same list: its entries are not gossiped.
+        records_[each.id].transmissions_left = 0;
+        records_[each.id].phase_since = now;
     }
 }
 
-auto member_table::merge( member const& news, core::instant now ) -> void
+auto member_table::merge( member const& update, core::instant now ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    if ( news.id == self_ )
+    if ( update.id == self_ )
     {
-        refute( news, now );
+        refute( update, now );
         return;
     }
-    auto const known = records_.find( news.id );
-    if ( known == records_.end() || is_newer( news, known->second.what ) )
+    auto const known = records_.find( update.id );
+    if ( known == records_.end() || is_newer( update, known->second.latest ) )
     {
-        store( news, now );
+        store( update, now );
         return;
     }
-    auto& what = known->second.what;
-    auto const is_same =
-        news.incarnation == what.incarnation && news.version == what.version;
+    auto& latest = known->second.latest;
+    auto const is_same = update.incarnation == latest.incarnation &&
+                         update.version == latest.version;
     if ( is_same )
-        what.open_requests = news.open_requests;
+        latest.open_requests = update.open_requests;
 }
 
-auto member_table::refute( member const& news, core::instant now ) -> void
+auto member_table::refute( member const& update, core::instant now ) -> void
 {
-    auto mine = records_[self_].what;
-    auto const is_slander = news.incarnation == mine.incarnation &&
-                            news.version >= mine.version &&
-                            news.phase != mine.phase;
-    if ( !is_slander )
+    auto own = records_[self_].latest;
+    auto const is_wrong_claim = update.incarnation == own.incarnation &&
+                                update.version >= own.version &&
+                                update.phase != own.phase;
+    if ( !is_wrong_claim )
         return;
-    mine.version = news.version + 1;
-    store( mine, now );
+    own.version = update.version + 1;
+    store( own, now );
 }
 
-auto member_table::note_silence( core::instance_id const& id,
-                                 core::instant now ) -> void
+auto member_table::note_unreachable( core::instance_id const& id,
+                                     core::instant now ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
     auto const known = records_.find( id );
     if ( known == records_.end() || id == self_ )
         return;
-    auto news = known->second.what;
-    if ( news.phase == member_phase::alive )
-        news.phase = member_phase::suspect;
-    else if ( news.phase == member_phase::leaving )
-        news.phase = member_phase::gone;
+    auto update = known->second.latest;
+    if ( update.phase == member_phase::alive )
+        update.phase = member_phase::suspect;
+    else if ( update.phase == member_phase::leaving )
+        update.phase = member_phase::gone;
     else
         return;
-    store( news, now );
+    store( update, now );
 }
 
 auto member_table::expire( core::instant now ) -> void
@@ -124,19 +125,20 @@
     for ( auto at = records_.begin(); at != records_.end(); )
     {
         auto& known = at->second;
-        auto const age = now - known.since;
-        auto const is_forgotten = known.what.phase == member_phase::gone &&
-                                  age > remember_gone && at->first != self_;
-        if ( is_forgotten )
+        auto const age = now - known.phase_since;
+        auto const is_expired = known.latest.phase == member_phase::gone &&
+                                age > gone_retention && at->first != self_;
+        if ( is_expired )
         {
             at = records_.erase( at );
             continue;
         }
-        if ( known.what.phase == member_phase::suspect && age > refute_time )
+        if ( known.latest.phase == member_phase::suspect &&
+             age > suspect_timeout )
         {
-            auto news = known.what;
-            news.phase = member_phase::gone;
-            store( news, now );
+            auto update = known.latest;
+            update.phase = member_phase::gone;
+            store( update, now );
         }
         ++at;
     }
@@ -145,16 +147,16 @@
 auto member_table::leave( core::instant now ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    auto mine = records_[self_].what;
-    mine.phase = member_phase::leaving;
-    ++mine.version;
-    store( mine, now );
+    auto own = records_[self_].latest;
+    own.phase = member_phase::leaving;
+    ++own.version;
+    store( own, now );
 }
 
 auto member_table::set_open_requests( std::int64_t count ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    records_[self_].what.open_requests = count;
+    records_[self_].latest.open_requests = count;
 }
 
 auto member_table::pick_peers( std::size_t count ) -> std::vector<member>
@@ -163,8 +165,8 @@
     auto others = std::vector<member>{};
     for ( auto const& [id, known] : records_ )
     {
-        if ( id != self_ && known.what.phase != member_phase::gone )
-            others.push_back( known.what );
+        if ( id != self_ && known.latest.phase != member_phase::gone )
+            others.push_back( known.latest );
     }
     auto picked = std::vector<member>{};
     std::sample( others.begin(), others.end(), std::back_inserter( picked ),
@@ -179,34 +181,34 @@
     auto gone = std::vector<member>{};
     for ( auto const& [id, known] : records_ )
     {
-        if ( id != self_ && known.what.phase == member_phase::gone )
-            gone.push_back( known.what );
+        if ( id != self_ && known.latest.phase == member_phase::gone )
+            gone.push_back( known.latest );
     }
     if ( gone.empty() )
         return std::nullopt;
     return gone[random_() % gone.size()];
 }
 
-auto member_table::take_changes( std::size_t most ) -> std::vector<member>
+auto member_table::take_changes( std::size_t max_count ) -> std::vector<member>
 {
     auto const lock = std::scoped_lock( mutex_ );
-    auto fresh = std::vector<record*>{};
+    auto pending = std::vector<record*>{};
     for ( auto& [id, known] : records_ )
     {
-        if ( known.passes_left > 0 )
-            fresh.push_back( &known );
+        if ( known.transmissions_left > 0 )
+            pending.push_back( &known );
     }
-    std::stable_sort( fresh.begin(), fresh.end(),
+    std::stable_sort( pending.begin(), pending.end(),
                       []( auto const* a, auto const* b )
                       {
-                          return a->passes_left > b->passes_left;
+                          return a->transmissions_left > b->transmissions_left;
                       } );
-    fresh.resize( std::min( fresh.size(), most ) );
+    pending.resize( std::min( pending.size(), max_count ) );
     auto changes = std::vector<member>{};
-    for ( auto* const each : fresh )
+    for ( auto* const each : pending )
     {
-        --each->passes_left;
-        changes.push_back( each->what );
+        --each->transmissions_left;
+        changes.push_back( each->latest );
     }
     return changes;
 }
@@ -214,7 +216,7 @@
 auto member_table::self() const -> member
 {
     auto const lock = std::scoped_lock( mutex_ );
-    return records_.at( self_ ).what;
+    return records_.at( self_ ).latest;
 }
 
 auto member_table::find( core::instance_id const& id ) const
@@ -224,27 +226,27 @@
     auto const known = records_.find( id );
     if ( known == records_.end() )
         return std::nullopt;
-    return known->second.what;
+    return known->second.latest;
 }
 
 auto member_table::all() const -> std::vector<member>
 {
     auto const lock = std::scoped_lock( mutex_ );
-    auto every = std::vector<member>{};
+    auto members = std::vector<member>{};
     for ( auto const& [id, known] : records_ )
-        every.push_back( known.what );
-    return every;
+        members.push_back( known.latest );
+    return members;
 }
 
 auto member_table::alive() const -> std::vector<member>
 {
-    auto every = all();
-    std::erase_if( every,
+    auto members = all();
+    std::erase_if( members,
                    []( member const& m )
                    {
                        return m.phase != member_phase::alive;
                    } );
-    return every;
+    return members;
 }
 
 }
--- a/src/pollenstream/membership/member_table.hpp
+++ b/src/pollenstream/membership/member_table.hpp
@@ -16,63 +16,70 @@
 namespace pollenstream::membership
 {
 
-/// All instances of the fleet as this one knows them.
+/// All instances of the fleet as this one knows them, kept by gossip as in
+/// SWIM.
 ///
-/// The platform's list gives names; exchanges between instances give the
-/// truth. Each second an instance exchanges heartbeats with a few others drawn
-/// at random, and passes on what changed lately, so that the traffic of one
-/// instance does not grow with the fleet. An instance that does not answer is
-/// suspected; it refutes by raising its version, and is gone if it does not.
+/// The platform's list only names the instances; their state comes from
+/// heartbeats. Each second an instance exchanges heartbeats with a few peers
+/// drawn at random and includes recent changes, so that the traffic of one
+/// instance does not grow with the fleet. An instance that does not reply
+/// becomes suspect. It refutes this by raising its version; otherwise it is
+/// gone after a timeout.
 class member_table
 {
 public:
     member_table( member self, std::uint64_t seed );
 
-    /// Takes over names that the platform lists and this table lacks. They
-    /// are alive until an exchange says otherwise. Entries of the list whose
-    /// place in the table is gone come back only by their own word.
-    auto learn_listed( std::vector<ports::listed_instance> const& listed,
-                       core::instant now ) -> void;
+    /// Adds the instances of the platform's list that this table lacks, as
+    /// alive, or as leaving where the list says so. The list never changes a
+    /// known instance: one that is gone returns only by its own heartbeat.
+    auto add_listed( std::vector<ports::listed_instance> const& listed,
+                     core::instant now ) -> void;
 
-    /// Merges news of any instance. News that this instance itself is suspect
-    /// or gone is refuted.
-    auto merge( member const& news, core::instant now ) -> void;
+    /// Merges an update about any instance. An update that has this instance in
+    /// another phase than its own is refuted.
+    auto merge( member const& update, core::instant now ) -> void;
 
-    /// Notes that `id` did not answer.
-    auto note_silence( core::instance_id const& id, core::instant now ) -> void;
-    /// Turns suspects that did not refute into gone ones, and forgets those
-    /// that are gone for long.
+    /// Notes that `id` did not reply: an alive instance becomes suspect, a
+    /// leaving one gone.
+    auto note_unreachable( core::instance_id const& id, core::instant now )
+        -> void;
+    /// Marks suspects that did not refute in time as gone, and removes the
+    /// instances that have been gone for long.
     auto expire( core::instant now ) -> void;
 
-    /// Says in all later exchanges that this instance is leaving.
+    /// Marks this instance as leaving, which later heartbeats announce.
     auto leave( core::instant now ) -> void;
     auto set_open_requests( std::int64_t count ) -> void;
 
-    /// Up to `count` others to exchange heartbeats with.
+    /// Up to `count` other instances that are not gone, drawn at random.
     auto pick_peers( std::size_t count ) -> std::vector<member>;
-    /// One instance that is held for gone, drawn at random, or nothing.
+    /// An instance considered gone, drawn at random, or nothing.
     auto pick_gone() -> std::optional<member>;
-    /// News that has not been passed on often enough yet.
-    auto take_changes( std::size_t most ) -> std::vector<member>;
+    /// Up to `max_count` members with transmissions left, those with the most
+    /// left first, and counts one transmission of each.
+    auto take_changes( std::size_t max_count ) -> std::vector<member>;
 
     [[nodiscard]] auto self() const -> member;
     [[nodiscard]] auto find( core::instance_id const& id ) const
         -> std::optional<member>;
     [[nodiscard]] auto all() const -> std::vector<member>;
-    /// Instances that callers may be sent to.
+    /// Instances that callers may be sent to; includes this one unless it is
+    /// leaving.
     [[nodiscard]] auto alive() const -> std::vector<member>;
 
 private:
     struct record
     {
-        member what;
-        core::instant since;  ///< of the present phase
-        int passes_left{ 0 }; ///< how often to pass this on still
+        member latest;
+        core::instant phase_since;
+        int transmissions_left{ 0 }; ///< heartbeats that still carry `latest`
     };
 
-    auto store( member const& news, core::instant now ) -> void;
-    auto refute( member const& news, core::instant now ) -> void;
-    auto passes() const -> int;
+    auto store( member const& update, core::instant now ) -> void;
+    auto refute( member const& update, core::instant now ) -> void;
+    /// Number of heartbeats that carry one update.
+    auto transmission_limit() const -> int;
 
     mutable std::mutex mutex_;
     core::instance_id self_;
--- a/src/pollenstream/membership/rendezvous.hpp
+++ b/src/pollenstream/membership/rendezvous.hpp
@@ -11,24 +11,25 @@
 namespace pollenstream::membership
 {
 
-/// Weight of `node` for `key` in rendezvous hashing: for each key the nodes
-/// with the highest weights are its homes, and a node that comes or goes moves
-/// only its own keys.
-auto rendezvous_weight( std::string_view key, std::string_view node )
+/// Weight of `candidate` for `key` in rendezvous hashing. A key belongs to the
+/// candidates with the highest weights, so that a candidate that is added or
+/// removed moves only its own keys.
+auto rendezvous_weight( std::string_view key, std::string_view candidate )
     -> std::uint64_t;
 
-/// The `count` homes of a workspace among `alive`, best first. A workspace's
-/// limits are divided between its homes, and callers are sent there, so that
-/// the limits hold without a central counter.
-auto workspace_homes( core::workspace_id const& workspace,
-                      std::vector<member> const& alive,
-                      std::size_t count ) -> std::vector<member>;
-
-/// Part of a workspace's limits that `self` may hand out, from 0 to 1.
-auto part_of_limits( core::workspace_id const& workspace,
-                     core::instance_id const& self,
-                     std::vector<member> const& alive,
-                     std::size_t homes ) -> double;
+/// The `count` limit owners of a workspace among `alive`, highest weight first.
+/// A workspace's limits are divided between its owners, and callers are sent
+/// to them, so that the limits hold without a central counter.
+auto limit_owners( core::workspace_id const& workspace,
+                   std::vector<member> const& alive,
+                   std::size_t count ) -> std::vector<member>;
+
+/// Share of a workspace's limits that `self` may hand out: an equal part where
+/// it is one of the `owner_count` limit owners, else 0.
+auto limit_share( core::workspace_id const& workspace,
+                  core::instance_id const& self,
+                  std::vector<member> const& alive,
+                  std::size_t owner_count ) -> double;
 
 }
 
--- a/src/pollenstream/membership/target_selection.cpp
+++ b/src/pollenstream/membership/target_selection.cpp
@@ -9,55 +9,57 @@
 namespace
 {
 
-/// Part of a subset that comes from other places, so that work can go on
-/// when the own place's targets are lost.
-constexpr auto far_part = 0.25;
+/// Share of a subset that comes from other data centres, so that work can go
+/// on when all targets of the own data centre are lost.
+constexpr auto remote_share = 0.25;
 
 struct weighted_target
 {
-    ports::listed_target const* what{ nullptr };
+    ports::listed_target const* listed{ nullptr };
     std::uint64_t weight{ 0 };
 };
 
-auto best_of( std::vector<weighted_target> from, std::size_t count )
+auto highest_weighted( std::vector<weighted_target> targets, std::size_t count )
     -> std::vector<weighted_target>
 {
-    std::sort( from.begin(), from.end(),
+    std::sort( targets.begin(), targets.end(),
                []( auto const& a, auto const& b )
                {
                    return a.weight > b.weight;
                } );
-    from.resize( std::min( count, from.size() ) );
-    return from;
+    targets.resize( std::min( count, targets.size() ) );
+    return targets;
 }
 
 }
 
-auto select_targets( std::vector<ports::listed_target> const& of_service,
-                     selection_request const& wanted )
+auto select_targets( std::vector<ports::listed_target> const& candidates,
+                     selection_request const& request )
     -> std::vector<ports::listed_target>
 {
-    if ( of_service.size() <= wanted.most )
-        return of_service;
-    auto near = std::vector<weighted_target>{};
-    auto far = std::vector<weighted_target>{};
-    for ( auto const& each : of_service )
+    if ( candidates.size() <= request.max_targets )
+        return candidates;
+    auto local = std::vector<weighted_target>{};
+    auto remote = std::vector<weighted_target>{};
+    for ( auto const& each : candidates )
     {
         auto const weight =
-            rendezvous_weight( wanted.self.str(), each.id.str() );
-        auto& side = each.place == wanted.place ? near : far;
-        side.push_back( { &each, weight } );
+            rendezvous_weight( request.self.str(), each.id.str() );
+        auto& group = each.place == request.place ? local : remote;
+        group.push_back( { &each, weight } );
     }
-    auto const far_wanted = static_cast<std::size_t>(
-        far_part * static_cast<double>( wanted.most ) );
-    auto const near_kept = std::min(
-        near.size(), wanted.most - std::min( far.size(), far_wanted ) );
-    auto kept = best_of( std::move( near ), near_kept );
-    auto const others = best_of( std::move( far ), wanted.most - kept.size() );
-    kept.insert( kept.end(), others.begin(), others.end() );
+    auto const remote_quota = static_cast<std::size_t>(
+        remote_share * static_cast<double>( request.max_targets ) );
+    auto const local_count =
+        std::min( local.size(), request.max_targets -
+                                    std::min( remote.size(), remote_quota ) );
+    auto kept = highest_weighted( std::move( local ), local_count );
+    auto const remote_kept = highest_weighted(
+        std::move( remote ), request.max_targets - kept.size() );
+    kept.insert( kept.end(), remote_kept.begin(), remote_kept.end() );
     auto selected = std::vector<ports::listed_target>{};
     for ( auto const& each : kept )
-        selected.push_back( *each.what );
+        selected.push_back( *each.listed );
     return selected;
 }
 
--- a/src/pollenstream/membership/target_selection.hpp
+++ b/src/pollenstream/membership/target_selection.hpp
@@ -10,20 +10,21 @@
 namespace pollenstream::membership
 {
 
-/// Who chooses, and how many targets of a service it may watch.
+/// The instance that selects, and how many targets of a service it may use.
 struct selection_request
 {
     core::instance_id self;
     core::place_id place;
-    std::size_t most{ 0 };
+    std::size_t max_targets{ 0 };
 };
 
-/// The targets of one service that an instance uses. A fleet of hundreds of
-/// instances cannot each watch a thousand targets, so that each takes a
-/// subset: those of its own place first, by rendezvous hashing, so that the
-/// subsets of all instances cover all targets evenly.
-auto select_targets( std::vector<ports::listed_target> const& of_service,
-                     selection_request const& wanted )
+/// The subset of a service's targets that an instance uses, because hundreds
+/// of instances cannot each watch a thousand targets. Three quarters come from
+/// the own data centre as far as it has enough, and each part is chosen by
+/// rendezvous hashing, so that the subsets of all instances together cover all
+/// targets evenly.
+auto select_targets( std::vector<ports::listed_target> const& candidates,
+                     selection_request const& request )
     -> std::vector<ports::listed_target>;
 
 }
--- a/src/pollenstream/membership/target_watch.cpp
+++ b/src/pollenstream/membership/target_watch.cpp
@@ -14,13 +14,13 @@
 using namespace std::chrono_literals;
 using routing::target_phase;
 
-/// A report older than this is asked for anew.
-constexpr auto old_report = core::duration( 500ms );
-/// Plain services have no load report to probe with: after this time the next
-/// call is the probe.
-constexpr auto plain_suspicion = core::duration( 3s );
-/// Targets per instance where a service is not configured yet.
-constexpr auto default_most = std::size_t{ 24 };
+/// A target whose load report is older than this is polled.
+constexpr auto max_report_age = core::duration( 500ms );
+/// A suspect target of a plain service has no load report to poll, so after
+/// this time it counts as alive again and the next call is the probe.
+constexpr auto plain_suspect_timeout = core::duration( 3s );
+/// Targets per instance of a service that is not configured yet.
+constexpr auto default_max_targets = std::size_t{ 24 };
 
 }
 
@@ -37,7 +37,7 @@
 {
 }
 
-auto target_watch::take_listing( ports::instance_listing const& listing )
+auto target_watch::apply_listing( ports::instance_listing const& listing )
     -> void
 {
     auto by_service =
@@ -47,15 +47,16 @@
     auto kept = std::vector<ports::listed_target>{};
     for ( auto const& [service, targets] : by_service )
     {
-        auto const most = holder_.read(
+        auto const max_targets = holder_.read(
             [&id = service]( profiles::configuration const& c )
             {
                 auto const* const known = c.find_service( id );
                 return known ? static_cast<std::size_t>(
                                    known->targets_per_instance )
-                             : default_most;
+                             : default_max_targets;
             } );
-        auto const chosen = select_targets( targets, { self_, place_, most } );
+        auto const chosen =
+            select_targets( targets, { self_, place_, max_targets } );
         kept.insert( kept.end(), chosen.begin(), chosen.end() );
     }
     auto identities = std::vector<routing::target_identity>{};
@@ -69,12 +70,12 @@
         auto const known = table_.find( each.id );
         if ( !known )
             continue;
-        auto const leaves = each.state == ports::listed_state::leaving;
-        if ( leaves && known->set_phase( target_phase::leaving, now ) !=
-                           target_phase::leaving )
+        auto const is_leaving = each.state == ports::listed_state::leaving;
+        if ( is_leaving && known->set_phase( target_phase::leaving, now ) !=
+                               target_phase::leaving )
             phase_changes.add();
-        // A target that the list calls live again was started anew.
-        if ( !leaves && known->phase() == target_phase::leaving )
+        // A leaving target that is listed as live again was restarted.
+        if ( !is_leaving && known->phase() == target_phase::leaving )
             known->set_phase( target_phase::alive, now );
     }
 }
@@ -83,7 +84,7 @@
 {
     auto const now = clock_.now();
     auto chosen = std::shared_ptr<routing::target>{};
-    auto const order = [now]( routing::target const& t )
+    auto const urgency = [now]( routing::target const& t )
     {
         auto const is_suspect = t.phase() == target_phase::suspect;
         return std::tuple( is_suspect, t.probe_age( now ) );
@@ -91,22 +92,22 @@
     for ( auto const& each : table_.all() )
     {
         if ( !is_model_target( *each ) )
-            forgive_later( *each, now );
-        else if ( is_due( *each, now ) &&
-                  ( !chosen || order( *each ) > order( *chosen ) ) )
+            reinstate_after_timeout( *each, now );
+        else if ( needs_poll( *each, now ) &&
+                  ( !chosen || urgency( *each ) > urgency( *chosen ) ) )
             chosen = each;
     }
     if ( chosen )
-        poll_one( chosen );
+        poll_target( chosen );
 }
 
-auto target_watch::is_due( routing::target const& t, core::instant now ) const
-    -> bool
+auto target_watch::needs_poll( routing::target const& t,
+                               core::instant now ) const -> bool
 {
     auto const phase = t.phase();
     if ( phase == target_phase::suspect )
         return true;
-    return phase != target_phase::gone && t.report_age( now ) > old_report;
+    return phase != target_phase::gone && t.report_age( now ) > max_report_age;
 }
 
 auto target_watch::is_model_target( routing::target const& t ) const -> bool
@@ -119,50 +120,50 @@
         } );
 }
 
-auto target_watch::forgive_later( routing::target& t, core::instant now )
-    -> void
+auto target_watch::reinstate_after_timeout( routing::target& t,
+                                            core::instant now ) -> void
 {
-    auto const is_over = t.phase() == target_phase::suspect &&
-                         t.phase_age( now ) > plain_suspicion;
-    if ( !is_over )
+    auto const timed_out = t.phase() == target_phase::suspect &&
+                           t.phase_age( now ) > plain_suspect_timeout;
+    if ( !timed_out )
         return;
     t.set_phase( target_phase::alive, now );
     phase_changes.add();
 }
 
-auto target_watch::poll_one( std::shared_ptr<routing::target> const& which )
+auto target_watch::poll_target( std::shared_ptr<routing::target> const& polled )
     -> void
 {
     polls.add();
-    which->note_probe( clock_.now() );
+    polled->note_probe( clock_.now() );
     auto const self = shared_from_this();
-    auto const endpoint = which->endpoint();
+    auto const endpoint = polled->endpoint();
     engines_.load( endpoint,
-                   [self, which]( core::result<ports::load_report> const& r )
+                   [self, polled]( core::result<ports::load_report> const& r )
                    {
-                       self->on_load( which, r );
+                       self->on_load( polled, r );
                    } );
 }
 
-auto target_watch::on_load( std::shared_ptr<routing::target> const& which,
+auto target_watch::on_load( std::shared_ptr<routing::target> const& polled,
                             core::result<ports::load_report> const& report )
     -> void
 {
     auto const now = clock_.now();
     if ( !report )
     {
-        if ( which->phase() == target_phase::alive )
+        if ( polled->phase() == target_phase::alive )
         {
-            which->set_phase( target_phase::suspect, now );
+            polled->set_phase( target_phase::suspect, now );
             phase_changes.add();
         }
         return;
     }
-    which->take_report( report.value(), now );
-    policy_.note_cached( which->identity().id, report.value().cached );
-    if ( which->phase() == target_phase::suspect )
+    polled->take_report( report.value(), now );
+    policy_.note_cached( polled->identity().id, report.value().cached );
+    if ( polled->phase() == target_phase::suspect )
     {
-        which->set_phase( target_phase::alive, now );
+        polled->set_phase( target_phase::alive, now );
         phase_changes.add();
     }
 }
--- a/src/pollenstream/membership/target_watch.hpp
+++ b/src/pollenstream/membership/target_watch.hpp
@@ -16,8 +16,8 @@
 namespace pollenstream::membership
 {
 
-/// Keeps the target table in step with the platform's list and asks targets
-/// for their load where answers have not brought it.
+/// Keeps the target table in step with the platform's list, and polls the load
+/// of targets whose answers have not carried a recent load report.
 class target_watch : public std::enable_shared_from_this<target_watch>
 {
 public:
@@ -29,23 +29,28 @@
                   ports::engine_client& engines,
                   ports::clock const& clock );
 
-    /// Takes over the list. A target that the list no longer names is gone;
-    /// one that it calls leaving gets no new work from here on.
-    auto take_listing( ports::instance_listing const& listing ) -> void;
+    /// Replaces the targets by this instance's subset of the list. A target
+    /// that drops out of it is gone; one that is listed as leaving gets no new
+    /// work.
+    auto apply_listing( ports::instance_listing const& listing ) -> void;
 
-    /// Asks one target for its load: a suspect before others, then the one
-    /// with the oldest report. How often this is called bounds what polls
-    /// cost, however many targets there are; most reports ride on answers.
+    /// Polls the load of at most one target: a suspect before others, and among
+    /// equals the one whose last report or poll is oldest. The rate of calls
+    /// bounds the cost of polls regardless of the number of targets; most load
+    /// reports arrive with answers.
     auto poll() -> void;
 
     core::counter polls;
     core::counter phase_changes;
 
 private:
-    auto forgive_later( routing::target& t, core::instant now ) -> void;
-    auto is_due( routing::target const& t, core::instant now ) const -> bool;
-    auto poll_one( std::shared_ptr<routing::target> const& which ) -> void;
-    auto on_load( std::shared_ptr<routing::target> const& which,
+    /// Makes a suspect target of a plain service alive again after a timeout.
+    auto reinstate_after_timeout( routing::target& t, core::instant now )
+        -> void;
+    auto needs_poll( routing::target const& t, core::instant now ) const
+        -> bool;
+    auto poll_target( std::shared_ptr<routing::target> const& polled ) -> void;
+    auto on_load( std::shared_ptr<routing::target> const& polled,
                   core::result<ports::load_report> const& report ) -> void;
     auto is_model_target( routing::target const& t ) const -> bool;
 
--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -106,8 +106,8 @@
     if ( is_unlimited )
         return core::duration( 0 );
     auto const part =
-        membership::part_of_limits( workspace, shared_.self.instance,
-                                    members_.alive(), homes_per_workspace );
+        membership::limit_share( workspace, shared_.self.instance,
+                                 members_.alive(), homes_per_workspace );
     auto const now = shared_.clock.now();
     auto const wait = limits_.take( of_profile, part, prompt, now );
     if ( wait > core::duration( 0 ) )
@@ -315,8 +315,7 @@
                      core::place_id const& place ) -> entry_answer
 {
     auto const alive = members_.alive();
-    auto ordered =
-        membership::workspace_homes( workspace, alive, alive.size() );
+    auto ordered = membership::limit_owners( workspace, alive, alive.size() );
     auto const homes = std::min( homes_per_workspace, ordered.size() );
     auto const split = ordered.begin() + static_cast<std::ptrdiff_t>( homes );
     auto const is_near = [&]( membership::member const& m )
--- a/standins/gossip_fleet.cpp
+++ b/standins/gossip_fleet.cpp
@@ -67,7 +67,7 @@
     first.id = id_of( 0 );
     first.callers = address_of( 0 );
     first.peers = address_of( 0 );
-    at( number ).members.learn_listed( { first }, time.now() );
+    at( number ).members.add_listed( { first }, time.now() );
     return number;
 }
 
--- a/tests/membership/member_table_test.cpp
+++ b/tests/membership/member_table_test.cpp
@@ -35,10 +35,10 @@
     auto table = membership::member_table( named( "me" ), 1 );
     auto const other = core::instance_id( "other" );
     table.merge( named( "other" ), start );
-    table.note_silence( other, start );
+    table.note_unreachable( other, start );
     CHECK( table.find( other )->phase == member_phase::suspect );
 
-    SECTION( "after its time" )
+    SECTION( "after the timeout" )
     {
         table.expire( start + 5s );
         CHECK( table.find( other )->phase == member_phase::gone );
@@ -51,7 +51,7 @@
         table.expire( start + 5s );
         CHECK( table.find( other )->phase == member_phase::alive );
     }
-    SECTION( "and comes back only as a later incarnation" )
+    SECTION( "and returns only as a later incarnation" )
     {
         table.expire( start + 5s );
         table.merge( named( "other" ), start + 6s );
@@ -61,17 +61,17 @@
     }
 }
 
-TEST_CASE( "an instance refutes what is said wrongly of it", "[membership]" )
+TEST_CASE( "an instance refutes a wrong claim about itself", "[membership]" )
 {
     auto table = membership::member_table( named( "me" ), 1 );
-    auto slander = named( "me" );
-    slander.phase = member_phase::suspect;
-    table.merge( slander, start );
+    auto wrong_claim = named( "me" );
+    wrong_claim.phase = member_phase::suspect;
+    table.merge( wrong_claim, start );
     CHECK( table.self().phase == member_phase::alive );
     CHECK( table.self().version == 1 );
 }
 
-TEST_CASE( "a leaving instance is not named to callers", "[membership]" )
+TEST_CASE( "callers are not sent to a leaving instance", "[membership]" )
 {
     auto table = membership::member_table( named( "me" ), 1 );
     auto leaving = named( "other" );
@@ -82,17 +82,17 @@
     CHECK( table.alive().empty() );
 }
 
-TEST_CASE( "news reaches a whole fleet within seconds", "[membership]" )
+TEST_CASE( "an update reaches a whole fleet within seconds", "[membership]" )
 {
     auto fleet = gossip_fleet( 64 );
-    // All of them start at once and know one other each.
+    // All instances start at once, and each knows only one other.
     REQUIRE( fleet.rounds_until(
                  [&]
                  {
                      return fleet.least_known() == 64;
                  } ) <= 20 );
 
-    SECTION( "that an instance leaves" )
+    SECTION( "an instance leaves" )
     {
         fleet.at( 3 ).members.leave( fleet.time.now() );
         CHECK( fleet.rounds_until(
@@ -101,7 +101,7 @@
                        return fleet.all_see( 3, member_phase::leaving );
                    } ) <= 7 );
     }
-    SECTION( "that an instance has died" )
+    SECTION( "an instance dies" )
     {
         fleet.kill( 3 );
         CHECK( fleet.rounds_until(
@@ -110,7 +110,7 @@
                        return fleet.all_see( 3, member_phase::gone );
                    } ) <= 15 );
     }
-    SECTION( "also when one connection in five is lost" )
+    SECTION( "no instance is given up when one connection in five is lost" )
     {
         fleet.lose_connections( 0.2 );
         fleet.run_rounds( 120 );
@@ -122,35 +122,37 @@
     }
 }
 
-TEST_CASE( "an instance held for gone by one other comes back by its own word",
-           "[membership]" )
+TEST_CASE(
+    "an instance considered gone by one other returns by its own heartbeat",
+    "[membership]" )
 {
     auto fleet = gossip_fleet( 2 );
     fleet.run_rounds( 3 );
-    auto wrong = fleet.at( 1 ).members.self();
-    wrong.phase = member_phase::gone;
-    fleet.at( 0 ).members.merge( wrong, fleet.time.now() );
-    // The news is no longer passed on.
+    auto wrong_claim = fleet.at( 1 ).members.self();
+    wrong_claim.phase = member_phase::gone;
+    fleet.at( 0 ).members.merge( wrong_claim, fleet.time.now() );
+    // Use up the transmissions: the wrong update is no longer gossiped.
     while ( !fleet.at( 0 ).members.take_changes( 100 ).empty() )
     {
     }
     REQUIRE( fleet.all_see( 1, member_phase::gone ) == false );
-    REQUIRE( fleet.at( 0 ).members.find( wrong.id )->phase ==
+    REQUIRE( fleet.at( 0 ).members.find( wrong_claim.id )->phase ==
              member_phase::gone );
     fleet.run_rounds( 3 );
-    CHECK( fleet.at( 0 ).members.find( wrong.id )->phase ==
+    CHECK( fleet.at( 0 ).members.find( wrong_claim.id )->phase ==
            member_phase::alive );
 }
 
-TEST_CASE( "two that hold each other for gone meet again", "[membership]" )
+TEST_CASE( "two instances that consider each other gone meet again",
+           "[membership]" )
 {
     auto fleet = gossip_fleet( 2 );
     fleet.run_rounds( 3 );
     for ( auto const i : { 0, 1 } )
     {
-        auto wrong = fleet.at( 1 - i ).members.self();
-        wrong.phase = member_phase::gone;
-        fleet.at( i ).members.merge( wrong, fleet.time.now() );
+        auto wrong_claim = fleet.at( 1 - i ).members.self();
+        wrong_claim.phase = member_phase::gone;
+        fleet.at( i ).members.merge( wrong_claim, fleet.time.now() );
         while ( !fleet.at( i ).members.take_changes( 100 ).empty() )
         {
         }
@@ -164,7 +166,7 @@
 {
     auto fleet = gossip_fleet( 64 );
     fleet.run_rounds( 20 );
-    // The store's watch has told one instance only.
+    // Only one instance has read the change from the store.
     fleet.adopt_at( 0, 1 );
     CHECK( fleet.rounds_until(
                [&]
@@ -172,7 +174,7 @@
                    return fleet.all_at_revision( 1 );
                } ) <= 7 );
 
-    SECTION( "and a new instance learns it from its peers in an outage" )
+    SECTION( "a new instance gets it from its peers while the store is down" )
     {
         auto const number = fleet.add();
         fleet.run_rounds( 1 );
@@ -180,31 +182,31 @@
     }
 }
 
-TEST_CASE( "a workspace's limits are divided between its homes",
+TEST_CASE( "a workspace's limits are divided between its limit owners",
            "[membership]" )
 {
     auto alive = std::vector<membership::member>{};
     for ( auto i = 0; i < 50; ++i )
         alive.push_back( named( "i" + std::to_string( i ) ) );
     auto const workspace = core::workspace_id( "w" );
-    auto const whole = [&]
+    auto const total_share = [&]
     {
         auto sum = 0.0;
         for ( auto const& each : alive )
-            sum += membership::part_of_limits( workspace, each.id, alive, 3 );
+            sum += membership::limit_share( workspace, each.id, alive, 3 );
         return sum;
     };
-    CHECK( whole() == Approx( 1 ) );
-    auto const homes = membership::workspace_homes( workspace, alive, 3 );
-    REQUIRE( homes.size() == 3 );
-    // One home goes: the others stay homes.
+    CHECK( total_share() == Approx( 1 ) );
+    auto const owners = membership::limit_owners( workspace, alive, 3 );
+    REQUIRE( owners.size() == 3 );
+    // When one owner goes, the others stay owners.
     std::erase_if( alive,
                    [&]( auto const& m )
                    {
-                       return m.id == homes.front().id;
+                       return m.id == owners.front().id;
                    } );
-    CHECK( whole() == Approx( 1 ) );
-    auto const after = membership::workspace_homes( workspace, alive, 3 );
+    CHECK( total_share() == Approx( 1 ) );
+    auto const after = membership::limit_owners( workspace, alive, 3 );
     auto const stays = [&]( core::instance_id const& id )
     {
         return std::any_of( after.begin(), after.end(),
@@ -213,11 +215,12 @@
                                 return m.id == id;
                             } );
     };
-    CHECK( stays( homes[1].id ) );
-    CHECK( stays( homes[2].id ) );
+    CHECK( stays( owners[1].id ) );
+    CHECK( stays( owners[2].id ) );
 }
 
-TEST_CASE( "subsets of targets cover all of them", "[membership]" )
+TEST_CASE( "the subsets of all instances together cover all targets",
+           "[membership]" )
 {
     auto targets = std::vector<ports::listed_target>{};
     for ( auto i = 0; i < 1'200; ++i )
@@ -235,13 +238,13 @@
             core::place_id( "p" + std::to_string( i % 10 ) ), 24 };
         auto const chosen = membership::select_targets( targets, request );
         REQUIRE( chosen.size() == 24 );
-        auto near = 0;
+        auto local = 0;
         for ( auto const& each : chosen )
         {
             ++uses[each.id];
-            near += each.place == request.place ? 1 : 0;
+            local += each.place == request.place ? 1 : 0;
         }
-        REQUIRE( near == 18 );
+        REQUIRE( local == 18 );
     }
     CHECK( uses.size() == targets.size() );
 }
