--- a/bench/capacity_rows.cpp
+++ b/bench/capacity_rows.cpp
@@ -168,7 +168,7 @@
     for ( auto const& each : table.all() )
         each->take_report( full_report(), core::instant( 1s ) );
     auto const policy = routing::make_policy( "predicted", 1 );
-    auto shape = routing::work_shape{};
+    auto shape = routing::request_shape{};
     shape.prompt_tokens = 1'500;
     shape.output_tokens = 64;
     row.cpu_microseconds = microseconds_per_run(
--- a/src/pollenstream/routing/baseline_policies.cpp
+++ b/src/pollenstream/routing/baseline_policies.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-auto requests_at( target const& t ) -> std::int64_t
+auto request_count( target const& t ) -> std::int64_t
 {
     return std::max( t.open_requests(), t.reported_requests() );
 }
@@ -19,7 +19,7 @@
 baseline_policy::baseline_policy( std::uint64_t seed ) : random_( seed ) {}
 
 auto baseline_policy::choose( target_list const& targets,
-                              work_shape const& shape,
+                              request_shape const& shape,
                               core::instant now )
     -> std::optional<target_choice>
 {
@@ -33,25 +33,24 @@
         return std::nullopt;
     auto const& chosen = usable[pick( usable )];
     auto const demand =
-        prefill_demand{ shape.order, shape.prompt_tokens,
+        prefill_demand{ shape.priority, shape.prompt_tokens,
                         shape.prompt_tokens + shape.output_tokens };
-    auto const first_token =
-        core::duration_of( predict_first_token( *chosen, demand, now ) );
+    auto const first_token = core::duration_of(
+        predict_first_token_seconds( *chosen, demand, now ) );
     auto const output = core::duration_of(
-        predict_output( *chosen, shape.output_tokens, now ) );
+        predict_decode_seconds( *chosen, shape.output_tokens, now ) );
     return target_choice{ chosen, first_token, first_token + output, 0 };
 }
 
-auto baseline_policy::draw( std::size_t below ) -> std::size_t
+auto baseline_policy::random_index( std::size_t size ) -> std::size_t
 {
     auto const lock = std::scoped_lock( mutex_ );
-    return std::uniform_int_distribution<std::size_t>( 0,
-                                                       below - 1 )( random_ );
+    return std::uniform_int_distribution<std::size_t>( 0, size - 1 )( random_ );
 }
 
 auto random_policy::pick( target_list const& usable ) -> std::size_t
 {
-    return draw( usable.size() );
+    return random_index( usable.size() );
 }
 
 auto round_robin_policy::pick( target_list const& usable ) -> std::size_t
@@ -61,13 +60,13 @@
 
 auto least_requests_policy::pick( target_list const& usable ) -> std::size_t
 {
-    // Starts at a random place so that ties do not all go to the first.
-    auto const start = draw( usable.size() );
+    // Starts at a random index so that ties do not all go to the first target.
+    auto const start = random_index( usable.size() );
     auto best = start;
     for ( auto i = std::size_t{ 0 }; i < usable.size(); ++i )
     {
         auto const at = ( start + i ) % usable.size();
-        if ( requests_at( *usable[at] ) < requests_at( *usable[best] ) )
+        if ( request_count( *usable[at] ) < request_count( *usable[best] ) )
             best = at;
     }
     return best;
@@ -75,11 +74,11 @@
 
 auto two_choices_policy::pick( target_list const& usable ) -> std::size_t
 {
-    auto const one = draw( usable.size() );
-    auto const other = draw( usable.size() );
+    auto const first = random_index( usable.size() );
+    auto const second = random_index( usable.size() );
     auto const first_is_better =
-        requests_at( *usable[one] ) <= requests_at( *usable[other] );
-    return first_is_better ? one : other;
+        request_count( *usable[first] ) <= request_count( *usable[second] );
+    return first_is_better ? first : second;
 }
 
 }
--- a/src/pollenstream/routing/baseline_policies.hpp
+++ b/src/pollenstream/routing/baseline_policies.hpp
@@ -10,28 +10,29 @@
 namespace pollenstream::routing
 {
 
-/// Common part of the simple policies that the bench compares against: draws
-/// among the targets that can take the work.
+/// Base of the simple policies that serve as baselines in the benchmark. It
+/// offers `pick` the targets that can take the request.
 class baseline_policy : public target_policy
 {
 public:
     explicit baseline_policy( std::uint64_t seed );
 
     auto choose( target_list const& targets,
-                 work_shape const& shape,
+                 request_shape const& shape,
                  core::instant now ) -> std::optional<target_choice> override;
 
 protected:
-    /// Index into `usable`, which is not empty.
+    /// Index of the chosen target in `usable`, which is not empty.
     virtual auto pick( target_list const& usable ) -> std::size_t = 0;
-    auto draw( std::size_t below ) -> std::size_t;
+    /// A random index below `size`.
+    auto random_index( std::size_t size ) -> std::size_t;
 
 private:
     std::mutex mutex_;
     std::mt19937_64 random_;
 };
 
-/// Any target, equally likely.
+/// A target drawn uniformly at random.
 class random_policy : public baseline_policy
 {
 public:
@@ -54,7 +55,8 @@
     std::atomic<std::size_t> next_{ 0 };
 };
 
-/// The target with the fewest requests, reported and own.
+/// The target with the fewest requests: the larger of its reported requests and
+/// this instance's open ones.
 class least_requests_policy : public baseline_policy
 {
 public:
@@ -64,7 +66,7 @@
     auto pick( target_list const& usable ) -> std::size_t override;
 };
 
-/// The better of two targets drawn at random, by requests.
+/// Of two targets drawn at random, the one with fewer requests.
 class two_choices_policy : public baseline_policy
 {
 public:
--- a/src/pollenstream/routing/policy_registry.cpp
+++ b/src/pollenstream/routing/policy_registry.cpp
@@ -10,12 +10,13 @@
 namespace
 {
 
-using maker = auto( * )( std::uint64_t seed ) -> std::unique_ptr<target_policy>;
+using factory = auto( * )( std::uint64_t seed )
+                    -> std::unique_ptr<target_policy>;
 
-struct named_maker
+struct named_factory
 {
     std::string_view name;
-    maker make;
+    factory make;
 };
 
 template <class Policy>
@@ -24,7 +25,8 @@
     return std::make_unique<Policy>( seed );
 }
 
-/// `predicted` with the option `Off` switched off; null leaves all on.
+/// Makes the predicted policy with option `Off` switched off; with null, all
+/// options stay on.
 template <bool predicted_options::*Off>
 auto make_predicted( std::uint64_t seed ) -> std::unique_ptr<target_policy>
 {
@@ -35,20 +37,20 @@
     return std::make_unique<predicted_policy>( options );
 }
 
-constexpr auto makers = std::array{
-    named_maker{ "random", make_baseline<random_policy> },
-    named_maker{ "round_robin", make_baseline<round_robin_policy> },
-    named_maker{ "least_requests", make_baseline<least_requests_policy> },
-    named_maker{ "two_choices", make_baseline<two_choices_policy> },
-    named_maker{ "predicted", make_predicted<nullptr> },
-    named_maker{ "predicted-no_backlog",
-                 make_predicted<&predicted_options::use_backlog> },
-    named_maker{ "predicted-no_clear_share",
-                 make_predicted<&predicted_options::use_clear_share> },
-    named_maker{ "predicted-no_affinity",
-                 make_predicted<&predicted_options::use_affinity> },
-    named_maker{ "predicted-no_spread",
-                 make_predicted<&predicted_options::use_spread> },
+constexpr auto factories = std::array{
+    named_factory{ "random", make_baseline<random_policy> },
+    named_factory{ "round_robin", make_baseline<round_robin_policy> },
+    named_factory{ "least_requests", make_baseline<least_requests_policy> },
+    named_factory{ "two_choices", make_baseline<two_choices_policy> },
+    named_factory{ "predicted", make_predicted<nullptr> },
+    named_factory{ "predicted-no_backlog",
+                   make_predicted<&predicted_options::use_backlog> },
+    named_factory{ "predicted-no_clear_share",
+                   make_predicted<&predicted_options::use_reserved_share> },
+    named_factory{ "predicted-no_affinity",
+                   make_predicted<&predicted_options::use_affinity> },
+    named_factory{ "predicted-no_spread",
+                   make_predicted<&predicted_options::use_spread> },
 };
 
 }
@@ -56,7 +58,7 @@
 auto policy_names() -> std::vector<std::string_view>
 {
     auto names = std::vector<std::string_view>{};
-    for ( auto const& each : makers )
+    for ( auto const& each : factories )
         names.push_back( each.name );
     return names;
 }
@@ -64,7 +66,7 @@
 auto make_policy( std::string_view name, std::uint64_t seed )
     -> std::unique_ptr<target_policy>
 {
-    for ( auto const& each : makers )
+    for ( auto const& each : factories )
     {
         if ( each.name == name )
             return each.make( seed );
--- a/src/pollenstream/routing/policy_registry.hpp
+++ b/src/pollenstream/routing/policy_registry.hpp
@@ -11,11 +11,12 @@
 namespace pollenstream::routing
 {
 
-/// Names of all policies: the baselines, `predicted`, and `predicted` with
-/// one of its parts switched off each.
+/// Names of all policies: the baselines, `predicted`, and variants of
+/// `predicted` with one part switched off.
 auto policy_names() -> std::vector<std::string_view>;
 
-/// The policy of that name, or null. Equal seeds make equal choices.
+/// Makes the policy called `name`, or null if there is none. The seed fixes the
+/// policy's random choices.
 auto make_policy( std::string_view name, std::uint64_t seed )
     -> std::unique_ptr<target_policy>;
 
--- a/src/pollenstream/routing/predicted_policy.cpp
+++ b/src/pollenstream/routing/predicted_policy.cpp
@@ -11,24 +11,27 @@
 namespace
 {
 
-/// Targets looked at for one choice; out of more, so many are drawn.
-constexpr auto most_scored = std::size_t{ 48 };
-/// A target counts as nearly best up to this much above the best, as a part
-/// of it and in seconds.
-constexpr auto near_part = 0.10;
-constexpr auto near_seconds = 0.02;
-/// Seconds of work at a target that others may have sent since its report.
-constexpr auto unseen_seconds = 0.03;
-/// Prefixes remembered by one instance.
+/// Most targets scored for one choice. If a service has more, this many are
+/// drawn at random.
+constexpr auto max_scored = std::size_t{ 48 };
+/// A target is nearly best if its score exceeds the best by at most the larger
+/// of this share of the best score and this number of seconds.
+constexpr auto near_best_ratio = 0.10;
+constexpr auto near_best_seconds = 0.02;
+/// Seconds of work that other instances may have sent to a target since its
+/// last report; widens the margin of the nearly best for small prompts.
+constexpr auto unreported_seconds = 0.03;
+/// Prefixes that one instance remembers.
 constexpr auto prefix_capacity = std::size_t{ 20'000 };
-/// Added for a target outside of the preferred places, in seconds: a few
-/// round trips between data centres.
+/// Seconds added for a target outside the preferred data centres: a few round
+/// trips between data centres.
 constexpr auto far_place_seconds = 0.005;
-/// Steps of this length, in seconds, do a short prompt beside a long one no
-/// harm to speak of, and full harm.
-constexpr auto harmless_step = 0.10;
-constexpr auto harmful_step = 0.20;
-/// Seconds that an open request stands for where tokens are not counted.
+/// Lengths of a full batch step, in seconds. Up to the first, a long prompt
+/// hardly delays a short one in the same batch, and no target is reserved; from
+/// the second on, the whole share is reserved.
+constexpr auto harmless_step_seconds = 0.10;
+constexpr auto harmful_step_seconds = 0.20;
+/// Score of one open request, in seconds, if `use_backlog` is off.
 constexpr auto seconds_per_open_request = 0.1;
 
 auto is_preferred( target const& candidate,
@@ -39,16 +42,18 @@
                       candidate.identity().place ) != places.end();
 }
 
-/// How much a long prompt harms a short one at the same target, from 0 to 1. A
-/// target that reads in short steps lets the short one in at the next; keeping
-/// it clear would only cost the long ones.
-auto harm_beside_long( target const& candidate ) -> double
+/// How much a long prompt delays a short one at the same target, from 0 to 1. A
+/// target with short steps admits the short one at the next step; reserving it
+/// would only cost the long prompts.
+auto long_prompt_interference( target const& candidate ) -> double
 {
     auto const step = candidate.full_step_seconds();
-    return std::clamp(
-        ( step - harmless_step ) / ( harmful_step - harmless_step ), 0.0, 1.0 );
+    return std::clamp( ( step - harmless_step_seconds ) /
+                           ( harmful_step_seconds - harmless_step_seconds ),
+                       0.0, 1.0 );
 }
 
+/// Output function of the SplitMix64 generator.
 auto mix_bits( std::uint64_t x ) -> std::uint64_t
 {
     x ^= x >> 30U;
@@ -62,21 +67,21 @@
 
 struct predicted_policy::scored_target
 {
-    target const* which{ nullptr };
-    std::shared_ptr<target> const* owner{ nullptr };
+    target const* candidate{ nullptr };
+    std::shared_ptr<target> const* shared{ nullptr };
     double score{ 0 };
     double first_token{ 0 };
     std::int64_t cached{ 0 };
     bool has_memory{ true };
 };
 
-struct predicted_policy::search
+struct predicted_policy::search_state
 {
-    work_shape const& shape;
+    request_shape const& shape;
     core::instant now;
-    std::optional<prefix_home> home;
-    double kept_clear{ 0 };
-    std::array<scored_target, most_scored + 1> scored{};
+    std::optional<cached_prefix> cached;
+    double reserved{ 0 };
+    std::array<scored_target, max_scored + 1> scored{};
     std::size_t count{ 0 };
     double best{ std::numeric_limits<double>::infinity() };
 };
@@ -97,32 +102,35 @@
                                   std::int64_t prompt_tokens,
                                   core::instant now ) -> bool
 {
-    if ( !options_.use_clear_share )
+    if ( !options_.use_reserved_share )
         return true;
-    auto const kept = clear_share_.kept_from( size_of( prompt_tokens ), now );
-    return candidate.rank() >= kept * harm_beside_long( candidate );
+    auto const reserved =
+        reserved_share_.reserved_from( size_class_of( prompt_tokens ), now );
+    return candidate.rank() >= reserved * long_prompt_interference( candidate );
 }
 
-auto predicted_policy::score( search const& state,
+auto predicted_policy::score( search_state const& state,
                               std::shared_ptr<target> const& candidate ) const
     -> std::optional<scored_target>
 {
     auto const& shape = state.shape;
     if ( !can_take( *candidate, shape ) )
         return std::nullopt;
-    auto const kept = state.kept_clear * harm_beside_long( *candidate );
-    if ( candidate->rank() < kept )
+    auto const reserved =
+        state.reserved * long_prompt_interference( *candidate );
+    if ( candidate->rank() < reserved )
         return std::nullopt;
     auto found = scored_target{ candidate.get(), &candidate };
-    auto const is_home =
-        state.home && state.home->target == candidate->identity().id;
-    if ( is_home )
-        found.cached = std::min( state.home->tokens, shape.prompt_tokens );
+    auto const has_prefix =
+        state.cached && state.cached->target == candidate->identity().id;
+    if ( has_prefix )
+        found.cached = std::min( state.cached->tokens, shape.prompt_tokens );
     auto const memory = shape.prompt_tokens + shape.output_tokens +
                         memory_margin_for( *candidate, shape.prompt_tokens );
     found.has_memory = memory <= candidate->free_memory();
-    found.first_token = predict_first_token(
-        *candidate, { shape.order, shape.prompt_tokens - found.cached, memory },
+    found.first_token = predict_first_token_seconds(
+        *candidate,
+        { shape.priority, shape.prompt_tokens - found.cached, memory },
         state.now );
     found.score = found.first_token;
     if ( !options_.use_backlog )
@@ -133,8 +141,8 @@
     return found;
 }
 
-auto predicted_policy::collect( search& state, target_list const& targets )
-    -> void
+auto predicted_policy::score_candidates( search_state& state,
+                                         target_list const& targets ) -> void
 {
     auto const add = [&]( std::shared_ptr<target> const& candidate )
     {
@@ -144,60 +152,67 @@
         state.scored[state.count++] = *found;
         state.best = std::min( state.best, found->score );
     };
-    if ( targets.size() <= most_scored )
+    if ( targets.size() <= max_scored )
     {
         for ( auto const& each : targets )
             add( each );
         return;
     }
-    for ( auto i = std::size_t{ 0 }; i < most_scored; ++i )
+    for ( auto i = std::size_t{ 0 }; i < max_scored; ++i )
         add( targets[next_random() % targets.size()] );
-    if ( state.home )
+    if ( state.cached )
     {
-        auto const home =
-            std::find_if( targets.begin(), targets.end(),
-                          [&]( auto const& each )
-                          {
-                              return each->identity().id == state.home->target;
-                          } );
-        if ( home != targets.end() )
-            add( *home );
+        auto const cached_at = std::find_if( targets.begin(), targets.end(),
+                                             [&]( auto const& each )
+                                             {
+                                                 return each->identity().id ==
+                                                        state.cached->target;
+                                             } );
+        if ( cached_at != targets.end() )
+            add( *cached_at );
     }
-    // The draw may have met none that can take the work.
+    // None of the drawn targets may be able to take the request.
     for ( auto at = targets.begin(); at != targets.end() && state.count == 0;
           ++at )
         add( *at );
 }
 
-auto predicted_policy::near_width( search const& state ) const -> double
+auto predicted_policy::near_best_margin( search_state const& state ) const
+    -> double
 {
-    // The reports tell what others sent before them, and nothing of what they
-    // send now. The smaller the own part of the work, the less the order of
-    // the targets can be trusted.
-    auto own = std::int64_t{ 0 };
-    auto all = std::int64_t{ 0 };
+    // A report does not include what other instances have sent since. The
+    // smaller this instance's share of the requests, the less reliable is the
+    // order of the scores.
+    auto own_requests = std::int64_t{ 0 };
+    auto reported_requests = std::int64_t{ 0 };
     for ( auto i = std::size_t{ 0 }; i < state.count; ++i )
     {
-        own += state.scored[i].which->open_requests();
-        all += state.scored[i].which->reported_requests();
+        own_requests += state.scored[i].candidate->open_requests();
+        reported_requests += state.scored[i].candidate->reported_requests();
     }
-    auto const whole = static_cast<double>( std::max( own, all ) );
-    auto const part = whole > 0 ? static_cast<double>( own ) / whole : 1.0;
-    auto const width = std::max( near_seconds, near_part * state.best );
+    auto const total =
+        static_cast<double>( std::max( own_requests, reported_requests ) );
+    auto const own_share =
+        total > 0 ? static_cast<double>( own_requests ) / total : 1.0;
+    auto const margin =
+        std::max( near_best_seconds, near_best_ratio * state.best );
     auto const is_small =
-        size_of( state.shape.prompt_tokens ) == size_class::small;
-    return is_small ? width + ( 1.0 - part ) * unseen_seconds : width;
+        size_class_of( state.shape.prompt_tokens ) == size_class::small;
+    return is_small ? margin + ( 1.0 - own_share ) * unreported_seconds
+                    : margin;
 }
 
-auto predicted_policy::draw_among_best( search const& state ) -> scored_target
+auto predicted_policy::draw_near_best( search_state const& state )
+    -> scored_target
 {
-    auto const limit =
-        options_.use_spread ? state.best + near_width( state ) : state.best;
+    auto const max_score = options_.use_spread
+                               ? state.best + near_best_margin( state )
+                               : state.best;
     auto chosen = scored_target{};
     auto seen = std::uint64_t{ 0 };
     for ( auto i = std::size_t{ 0 }; i < state.count; ++i )
     {
-        if ( state.scored[i].score > limit )
+        if ( state.scored[i].score > max_score )
             continue;
         ++seen;
         if ( next_random() % seen == 0 )
@@ -207,45 +222,45 @@
 }
 
 auto predicted_policy::choose( target_list const& targets,
-                               work_shape const& shape,
+                               request_shape const& shape,
                                core::instant now )
     -> std::optional<target_choice>
 {
-    auto state = search{ shape, now, std::nullopt };
-    if ( options_.use_clear_share )
-        state.kept_clear =
-            clear_share_.kept_from( size_of( shape.prompt_tokens ), now );
+    auto state = search_state{ shape, now, std::nullopt };
+    if ( options_.use_reserved_share )
+        state.reserved = reserved_share_.reserved_from(
+            size_class_of( shape.prompt_tokens ), now );
     if ( options_.use_affinity )
-        state.home = prefixes_.find( shape.prefixes );
-    collect( state, targets );
-    if ( state.count == 0 && state.kept_clear > 0 )
+        state.cached = prefixes_.find( shape.prefixes );
+    score_candidates( state, targets );
+    if ( state.count == 0 && state.reserved > 0 )
     {
-        // Better beside short work than not at all.
-        state.kept_clear = 0;
-        collect( state, targets );
+        // Better on a reserved target than on none.
+        state.reserved = 0;
+        score_candidates( state, targets );
     }
     if ( state.count == 0 )
         return std::nullopt;
-    auto const best = draw_among_best( state );
+    auto const best = draw_near_best( state );
     auto const first_token = core::duration_of( best.first_token );
     auto const output = core::duration_of(
-        predict_output( *best.which, shape.output_tokens, now ) );
-    return target_choice{ *best.owner, first_token, first_token + output,
+        predict_decode_seconds( *best.candidate, shape.output_tokens, now ) );
+    return target_choice{ *best.shared, first_token, first_token + output,
                           best.cached, best.has_memory };
 }
 
 auto predicted_policy::note_dispatch( target_choice const& choice,
-                                      work_shape const& shape,
+                                      request_shape const& shape,
                                       core::instant now ) -> void
 {
-    clear_share_.note( shape.prompt_tokens, now );
+    reserved_share_.note( shape.prompt_tokens, now );
     prefixes_.note( shape.prefixes, choice.chosen->identity().id );
 }
 
-auto predicted_policy::note_cached( core::target_id const& at,
+auto predicted_policy::note_cached( core::target_id const& engine,
                                     core::prefix_chain const& prefixes ) -> void
 {
-    prefixes_.note( prefixes, at );
+    prefixes_.note( prefixes, engine );
 }
 
 }
--- a/src/pollenstream/routing/predicted_policy.hpp
+++ b/src/pollenstream/routing/predicted_policy.hpp
@@ -1,8 +1,8 @@
 #ifndef POLLENSTREAM_ROUTING_PREDICTED_POLICY_HPP
 #define POLLENSTREAM_ROUTING_PREDICTED_POLICY_HPP
 
-#include <pollenstream/routing/clear_share.hpp>
 #include <pollenstream/routing/prefix_index.hpp>
+#include <pollenstream/routing/reserved_share.hpp>
 #include <pollenstream/routing/target_policy.hpp>
 
 #include <atomic>
@@ -11,32 +11,35 @@
 namespace pollenstream::routing
 {
 
-/// Parts of the policy that can be switched off, to measure what each is
-/// worth.
+/// Parts of the policy that the benchmark can switch off one by one.
 struct predicted_options
 {
-    bool use_backlog{ true };     ///< predict from tokens, else open requests
-    bool use_clear_share{ true }; ///< keep targets clear of long prompts
-    bool use_affinity{ true };    ///< prefer where the prefix is cached
-    bool use_spread{ true }; ///< draw among the nearly best, else take the best
+    /// Score by the predicted time to first token, else by open requests.
+    bool use_backlog{ true };
+    /// Reserve a share of the targets for shorter prompts.
+    bool use_reserved_share{ true };
+    /// Prefer the target that has cached a prefix of the prompt.
+    bool use_affinity{ true };
+    /// Draw among the nearly best targets, else take the best.
+    bool use_spread{ true };
     std::uint64_t seed{ 1 };
 };
 
-/// Chooses a target whose first token is predicted to come first. It draws
-/// among the nearly best, which keeps instances that have the same late
-/// reports from all choosing the same idle target.
+/// Chooses a target with about the shortest predicted time to first token. It
+/// draws among the nearly best, so that instances with the same outdated load
+/// reports do not all choose the same idle target.
 class predicted_policy : public target_policy
 {
 public:
     explicit predicted_policy( predicted_options options );
 
     auto choose( target_list const& targets,
-                 work_shape const& shape,
+                 request_shape const& shape,
                  core::instant now ) -> std::optional<target_choice> override;
     auto note_dispatch( target_choice const& choice,
-                        work_shape const& shape,
+                        request_shape const& shape,
                         core::instant now ) -> void override;
-    auto note_cached( core::target_id const& at,
+    auto note_cached( core::target_id const& engine,
                       core::prefix_chain const& prefixes ) -> void override;
 
     auto may_place( target const& candidate,
@@ -44,19 +47,22 @@
                     core::instant now ) -> bool override;
 
 private:
-    struct search;
+    /// Inputs and scored targets of one choice.
+    struct search_state;
     struct scored_target;
 
-    auto score( search const& state,
+    auto score( search_state const& state,
                 std::shared_ptr<target> const& candidate ) const
         -> std::optional<scored_target>;
-    auto collect( search& state, target_list const& targets ) -> void;
-    auto near_width( search const& state ) const -> double;
-    auto draw_among_best( search const& state ) -> scored_target;
+    auto score_candidates( search_state& state, target_list const& targets )
+        -> void;
+    /// Score above the best up to which a target is nearly best.
+    auto near_best_margin( search_state const& state ) const -> double;
+    auto draw_near_best( search_state const& state ) -> scored_target;
     auto next_random() -> std::uint64_t;
 
     predicted_options options_;
-    clear_share clear_share_;
+    reserved_share reserved_share_;
     prefix_index prefixes_;
     std::atomic<std::uint64_t> random_;
 };
--- a/src/pollenstream/routing/prefix_index.cpp
+++ b/src/pollenstream/routing/prefix_index.cpp
@@ -8,13 +8,13 @@
 prefix_index::prefix_index( std::size_t capacity ) : capacity_( capacity ) {}
 
 auto prefix_index::find( core::prefix_chain const& chain )
-    -> std::optional<prefix_home>
+    -> std::optional<cached_prefix>
 {
     auto const lock = std::scoped_lock( mutex_ );
     for ( auto mark = chain.rbegin(); mark != chain.rend(); ++mark )
     {
         if ( auto const* const known = touch( mark->hash ) )
-            return prefix_home{ known->target, mark->tokens };
+            return cached_prefix{ known->target, mark->tokens };
     }
     return std::nullopt;
 }
--- a/src/pollenstream/routing/prefix_index.hpp
+++ b/src/pollenstream/routing/prefix_index.hpp
@@ -13,27 +13,29 @@
 namespace pollenstream::routing
 {
 
-/// Where a prompt's head is probably cached.
-struct prefix_home
+/// A prefix of a prompt and the target that has probably cached it.
+struct cached_prefix
 {
     core::target_id target;
-    std::int64_t tokens{ 0 }; ///< cached tokens, as far as known
+    std::int64_t tokens{ 0 }; ///< length of the prefix
 };
 
-/// Remembers which target last read which prefix: from own dispatches, and
-/// from engines' cache events, which come late and with gaps. Bounded; the
-/// prefix used longest ago is forgotten first.
+/// Bounded LRU index of the target that last processed each prefix. Its
+/// sources are this instance's dispatches and the engines' cache events, which
+/// arrive late and with gaps.
 class prefix_index
 {
 public:
     explicit prefix_index( std::size_t capacity );
 
-    /// The longest known prefix of `chain`.
-    auto find( core::prefix_chain const& chain ) -> std::optional<prefix_home>;
-    /// Notes that `target` reads, or has read, every prefix of `chain`.
+    /// The longest known prefix of `chain`, or nothing.
+    auto find( core::prefix_chain const& chain )
+        -> std::optional<cached_prefix>;
+    /// Notes that `target` processes, or has processed, every prefix of
+    /// `chain`.
     auto note( core::prefix_chain const& chain, core::target_id const& target )
         -> void;
-    /// Forgets what was known of a target that is gone.
+    /// Removes all prefixes of `target`.
     auto forget( core::target_id const& target ) -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
@@ -44,14 +46,15 @@
         std::uint64_t hash{ 0 };
         core::target_id target;
     };
-    using recency = std::list<entry>;
+    using lru_list = std::list<entry>;
 
+    /// The entry of `hash` as the most recently used one, or null.
     auto touch( std::uint64_t hash ) -> entry*;
 
     std::size_t capacity_;
     mutable std::mutex mutex_;
-    recency entries_; ///< used last stands first
-    std::unordered_map<std::uint64_t, recency::iterator> by_hash_;
+    lru_list entries_; ///< most recently used first
+    std::unordered_map<std::uint64_t, lru_list::iterator> by_hash_;
 };
 
 }
--- a/src/pollenstream/routing/size_class.hpp
+++ b/src/pollenstream/routing/size_class.hpp
@@ -7,26 +7,26 @@
 namespace pollenstream::routing
 {
 
-/// Classes of prompt length that are kept apart at targets.
+/// Classes of prompt length that the choice of a target treats differently.
 enum class size_class
 {
-    small,  ///< read within one batch step
-    medium, ///< read within a second or two
-    large,  ///< holds a target up for longer
+    small,  ///< prefilled within one batch step
+    medium, ///< prefilled within a second or two
+    large,  ///< occupies a target for longer
 };
 
 inline constexpr std::size_t size_class_count = 3;
 
-/// Longest prompts of the two lower classes, in tokens.
-inline constexpr auto longest_small = std::int64_t{ 4'096 };
-inline constexpr auto longest_medium = std::int64_t{ 32'768 };
+/// Longest prompts of the classes small and medium, in tokens.
+inline constexpr auto max_small_tokens = std::int64_t{ 4'096 };
+inline constexpr auto max_medium_tokens = std::int64_t{ 32'768 };
 
-/// The class of a prompt of `tokens`.
-constexpr auto size_of( std::int64_t tokens ) noexcept -> size_class
+/// The class of a prompt of `tokens` tokens.
+constexpr auto size_class_of( std::int64_t tokens ) noexcept -> size_class
 {
-    if ( tokens <= longest_small )
+    if ( tokens <= max_small_tokens )
         return size_class::small;
-    return tokens <= longest_medium ? size_class::medium : size_class::large;
+    return tokens <= max_medium_tokens ? size_class::medium : size_class::large;
 }
 
 constexpr auto index_of( size_class c ) noexcept -> std::size_t
--- a/src/pollenstream/routing/target.cpp
+++ b/src/pollenstream/routing/target.cpp
@@ -11,17 +11,17 @@
 namespace
 {
 
-/// Rates assumed of a target that has not reported yet.
+/// Rates assumed for a target without a load report, in tokens a second.
 constexpr auto assumed_prefill_rate = 20'000.0;
 constexpr auto assumed_decode_rate = 30.0;
-/// Memory assumed of a target that has not reported yet, in tokens.
+/// Memory assumed for a target without a load report, in tokens.
 constexpr auto assumed_memory = std::int64_t{ 400'000 };
 
-/// Time from a choice to its send, at most.
+/// Longest time between the choice of a target and the send to it.
 constexpr auto leaving_grace = core::duration( std::chrono::seconds( 3 ) );
 
-/// How much of the longest step is remembered from report to report.
-constexpr auto full_step_fading = 0.98;
+/// Factor applied to the remembered length of a full step at each report.
+constexpr auto full_step_decay = 0.98;
 
 constexpr auto relaxed = std::memory_order_relaxed;
 
@@ -31,7 +31,7 @@
            static_cast<double>( std::numeric_limits<std::uint64_t>::max() );
 }
 
-auto count_of( core::instant t ) -> std::int64_t
+auto microseconds_of( core::instant t ) -> std::int64_t
 {
     return t.time_since_epoch().count();
 }
@@ -71,30 +71,31 @@
 {
     auto const former = phase_.exchange( next, std::memory_order_acq_rel );
     if ( former != next )
-        phase_since_us_.store( count_of( now ), relaxed );
+        phase_since_us_.store( microseconds_of( now ), relaxed );
     return former;
 }
 
 auto target::may_get_work( core::instant now ) const noexcept -> bool
 {
-    auto const at = phase();
-    if ( at == target_phase::alive || at == target_phase::suspect )
+    auto const current = phase();
+    if ( current == target_phase::alive || current == target_phase::suspect )
         return true;
     return phase_age( now ) <= leaving_grace;
 }
 
 auto target::phase_age( core::instant now ) const noexcept -> core::duration
 {
-    return core::duration( count_of( now ) - phase_since_us_.load( relaxed ) );
+    return core::duration( microseconds_of( now ) -
+                           phase_since_us_.load( relaxed ) );
 }
 
 auto target::take_report( ports::load_report const& report,
                           core::instant received ) -> void
 {
-    auto const taken_at = count_of( received - report.age );
-    if ( taken_at < taken_at_us_.load( relaxed ) )
+    auto const measured_at = microseconds_of( received - report.age );
+    if ( measured_at < measured_at_us_.load( relaxed ) )
         return;
-    taken_at_us_.store( taken_at, relaxed );
+    measured_at_us_.store( measured_at, relaxed );
     for ( auto i = std::size_t{ 0 }; i < load_.size(); ++i )
     {
         load_[i].reported.store( report.backlog[i], relaxed );
@@ -102,7 +103,7 @@
     }
     memory_used_.store( report.memory_used, relaxed );
     memory_sent_since_report_.store( 0, relaxed );
-    requests_.store( report.requests, relaxed );
+    reported_requests_.store( report.requests, relaxed );
     if ( report.memory_total > 0 )
         memory_total_.store( report.memory_total, relaxed );
     if ( report.prefill_rate > 0 )
@@ -110,14 +111,15 @@
     if ( report.decode_rate > 0 )
         decode_rate_.store( report.decode_rate, relaxed );
     step_seconds_.store( report.step_seconds, relaxed );
-    auto const faded = full_step_fading * full_step_seconds_.load( relaxed );
-    full_step_seconds_.store( std::max( faded, report.step_seconds ), relaxed );
+    auto const decayed = full_step_decay * full_step_seconds_.load( relaxed );
+    full_step_seconds_.store( std::max( decayed, report.step_seconds ),
+                              relaxed );
 }
 
 auto target::add_dispatch( dispatched_work const& work ) -> void
 {
-    auto& load = load_[index_of( work.order )];
-    load.own_pending.fetch_add( work.prompt_tokens, relaxed );
+    auto& load = load_[index_of( work.priority )];
+    load.own_prefill.fetch_add( work.prompt_tokens, relaxed );
     load.sent_since_report.fetch_add( work.prompt_tokens, relaxed );
     own_memory_.fetch_add( work.memory_tokens, relaxed );
     memory_sent_since_report_.fetch_add( work.memory_tokens, relaxed );
@@ -126,8 +128,8 @@
 
 auto target::end_prefill( dispatched_work const& work ) -> void
 {
-    auto& load = load_[index_of( work.order )];
-    load.own_pending.fetch_sub( work.prompt_tokens, relaxed );
+    auto& load = load_[index_of( work.priority )];
+    load.own_prefill.fetch_sub( work.prompt_tokens, relaxed );
 }
 
 auto target::end_dispatch( dispatched_work const& work ) -> void
@@ -136,24 +138,26 @@
     open_requests_.fetch_sub( 1, relaxed );
 }
 
-auto target::backlog_before( profiles::priority order, core::instant now ) const
-    -> std::int64_t
+auto target::backlog_before( profiles::priority priority,
+                             core::instant now ) const -> std::int64_t
 {
     auto reported = std::int64_t{ 0 };
-    auto sent = std::int64_t{ 0 };
+    auto sent_since = std::int64_t{ 0 };
     auto own = std::int64_t{ 0 };
-    for ( auto i = std::size_t{ 0 }; i <= index_of( order ); ++i )
+    for ( auto i = std::size_t{ 0 }; i <= index_of( priority ); ++i )
     {
         reported += load_[i].reported.load( relaxed );
-        sent += load_[i].sent_since_report.load( relaxed );
-        own += load_[i].own_pending.load( relaxed );
+        sent_since += load_[i].sent_since_report.load( relaxed );
+        own += load_[i].own_prefill.load( relaxed );
     }
     auto const age = core::seconds_of( report_age( now ) );
     auto const drained =
         static_cast<std::int64_t>( age * prefill_rate_.load( relaxed ) );
-    // What is left of the report and of the dispatches that came after it;
-    // own work that has no first token yet is there for certain.
-    auto const left = std::max( std::int64_t{ 0 }, reported + sent - drained );
+    // What remains of the report and of this instance's dispatches since, if
+    // the target prefills at its usual rate. Own work without a first token is
+    // certainly still there.
+    auto const left =
+        std::max( std::int64_t{ 0 }, reported + sent_since - drained );
     return std::max( left, own );
 }
 
@@ -202,26 +206,26 @@
 
 auto target::reported_requests() const -> std::int64_t
 {
-    return requests_.load( relaxed );
+    return reported_requests_.load( relaxed );
 }
 
 auto target::report_age( core::instant now ) const -> core::duration
 {
-    auto const age = count_of( now ) - taken_at_us_.load( relaxed );
+    auto const age = microseconds_of( now ) - measured_at_us_.load( relaxed );
     return core::duration( std::max( std::int64_t{ 0 }, age ) );
 }
 
 auto target::note_probe( core::instant now ) -> void
 {
-    probed_at_us_.store( count_of( now ), relaxed );
+    probed_at_us_.store( microseconds_of( now ), relaxed );
 }
 
 auto target::probe_age( core::instant now ) const -> core::duration
 {
-    auto const last =
-        std::max( probed_at_us_.load( relaxed ), taken_at_us_.load( relaxed ) );
+    auto const last = std::max( probed_at_us_.load( relaxed ),
+                                measured_at_us_.load( relaxed ) );
     return core::duration(
-        std::max( std::int64_t{ 0 }, count_of( now ) - last ) );
+        std::max( std::int64_t{ 0 }, microseconds_of( now ) - last ) );
 }
 
 }
--- a/src/pollenstream/routing/target.hpp
+++ b/src/pollenstream/routing/target.hpp
@@ -14,7 +14,7 @@
 namespace pollenstream::routing
 {
 
-/// What a target is; it does not change while the target lives.
+/// The properties of a target that stay the same for its lifetime.
 struct target_identity
 {
     core::target_id id;
@@ -27,25 +27,25 @@
 enum class target_phase : int
 {
     alive,
-    suspect, ///< calls failed lately; only probes go there
-    leaving, ///< finishes what it has
+    suspect, ///< a recent call failed; gets only probes
+    leaving, ///< finishes its open requests, gets no new ones
     gone,
 };
 
-/// Name in dumps: `alive`, `suspect`, `leaving` or `gone`.
+/// Name in state dumps: `alive`, `suspect`, `leaving` or `gone`.
 auto name_of( target_phase phase ) -> std::string_view;
 
-/// Tokens of prompt that one dispatch adds to a target.
+/// Load that one dispatch adds to a target.
 struct dispatched_work
 {
-    profiles::priority order{ profiles::priority::normal };
-    std::int64_t prompt_tokens{ 0 }; ///< tokens that are not cached there
+    profiles::priority priority{ profiles::priority::normal };
+    std::int64_t prompt_tokens{ 0 }; ///< prompt tokens that are not cached
     std::int64_t memory_tokens{ 0 }; ///< KV memory for prompt and output
 };
 
-/// A target with what is known of its load: its last report, and this
-/// instance's own dispatches, which the report cannot know yet. All members
-/// are read and written without a lock.
+/// A target and its known load: its last load report, and this instance's
+/// dispatches, some of which the report does not include yet. All members are
+/// read and written without a lock.
 class target
 {
 public:
@@ -56,68 +56,78 @@
         return identity_;
     }
 
-    /// Where calls to it go.
+    /// Destination of calls to this target.
     [[nodiscard]] auto endpoint() const -> ports::engine_endpoint
     {
         return { identity_.id, identity_.address };
     }
 
-    /// Place of this target in a fixed random order of all targets, from 0 to
-    /// 1; the same on every instance.
+    /// Position of this target in a pseudo-random order of all targets, from 0
+    /// to 1; a hash of the id, so the same on every instance.
     [[nodiscard]] auto rank() const noexcept -> double
     {
         return rank_;
     }
 
     [[nodiscard]] auto phase() const noexcept -> target_phase;
-    /// Sets the phase and gives the former one back.
+    /// Sets the phase and returns the previous one.
     auto set_phase( target_phase next, core::instant now ) noexcept
         -> target_phase;
-    /// How long the target has been in its present phase.
+    /// Time since the phase last changed.
     [[nodiscard]] auto phase_age( core::instant now ) const noexcept
         -> core::duration;
-    /// False for a target that is gone, or has been leaving for longer than
-    /// a choice made before can take to be sent.
+    /// False once a target has been leaving or gone for longer than a request
+    /// can take from the choice of its target to the send. Checked at the send;
+    /// the choice itself only considers alive targets.
     [[nodiscard]] auto may_get_work( core::instant now ) const noexcept -> bool;
 
-    /// Takes over a load report that was read at `received`.
+    /// Takes over a load report received at `received`, unless it was measured
+    /// before the last one.
     auto take_report( ports::load_report const& report, core::instant received )
         -> void;
-    /// Counts work as sent, before the send.
+    /// Adds the load of a request; called before the request is sent.
     auto add_dispatch( dispatched_work const& work ) -> void;
-    /// Takes prompt tokens off again once the first token has come.
+    /// Removes the prompt tokens, after the first token has arrived.
     auto end_prefill( dispatched_work const& work ) -> void;
-    /// Takes the dispatch off altogether.
+    /// Removes the memory and the open request of an ended dispatch; its prompt
+    /// tokens are removed by `end_prefill`.
     auto end_dispatch( dispatched_work const& work ) -> void;
 
-    /// Tokens to be read before a request of priority `order` sent at `now`.
-    [[nodiscard]] auto backlog_before( profiles::priority order,
+    /// Prompt tokens that are prefilled before a request of that priority sent
+    /// at `now`: those of its own and of more urgent priorities.
+    [[nodiscard]] auto backlog_before( profiles::priority priority,
                                        core::instant now ) const
         -> std::int64_t;
-    /// Free KV memory in tokens, own dispatches taken off.
+    /// Free KV memory in tokens, less that of own dispatches the report does
+    /// not include.
     [[nodiscard]] auto free_memory() const -> std::int64_t;
     [[nodiscard]] auto total_memory() const -> std::int64_t;
     [[nodiscard]] auto prefill_rate() const -> double;
     [[nodiscard]] auto decode_rate() const -> double;
     [[nodiscard]] auto step_seconds() const -> double;
-    /// Length of a batch step that is full of prompt, as seen lately.
+    /// Length of a batch step full of prefill: the longest reported step, which
+    /// decays with each report.
     [[nodiscard]] auto full_step_seconds() const -> double;
-    /// Prompt tokens to be read there, of all priorities.
+    /// Prompt tokens still to be prefilled, of all priorities.
     [[nodiscard]] auto backlog( core::instant now ) const -> std::int64_t;
-    /// Requests of this instance that are open there.
+    /// Open requests of this instance at the target.
     [[nodiscard]] auto open_requests() const -> std::int64_t;
     [[nodiscard]] auto reported_requests() const -> std::int64_t;
+    /// Time since the last report was measured.
     [[nodiscard]] auto report_age( core::instant now ) const -> core::duration;
-    /// Notes that the target was asked for a report.
+    /// Notes that the target's load was polled.
     auto note_probe( core::instant now ) -> void;
-    /// Time since the last report, or since it was asked for one.
+    /// Time since the last report or poll, whichever is later.
     [[nodiscard]] auto probe_age( core::instant now ) const -> core::duration;
 
 private:
-    struct class_load
+    /// Prompt tokens of one priority.
+    struct priority_load
     {
         std::atomic<std::int64_t> reported{ 0 };
-        std::atomic<std::int64_t> own_pending{ 0 };
+        /// Dispatched by this instance and without a first token.
+        std::atomic<std::int64_t> own_prefill{ 0 };
+        /// Dispatched by this instance since the last report.
         std::atomic<std::int64_t> sent_since_report{ 0 };
     };
 
@@ -125,15 +135,15 @@
     double rank_;
     std::atomic<target_phase> phase_{ target_phase::alive };
     std::atomic<std::int64_t> phase_since_us_{ 0 };
-    std::array<class_load, profiles::priority_count> load_;
-    std::atomic<std::int64_t> taken_at_us_{ 0 };
+    std::array<priority_load, profiles::priority_count> load_;
+    std::atomic<std::int64_t> measured_at_us_{ 0 };
     std::atomic<std::int64_t> probed_at_us_{ 0 };
     std::atomic<std::int64_t> memory_used_{ 0 };
     std::atomic<std::int64_t> memory_total_{ 0 };
     std::atomic<std::int64_t> own_memory_{ 0 };
     std::atomic<std::int64_t> memory_sent_since_report_{ 0 };
     std::atomic<std::int64_t> open_requests_{ 0 };
-    std::atomic<std::int64_t> requests_{ 0 };
+    std::atomic<std::int64_t> reported_requests_{ 0 };
     std::atomic<double> prefill_rate_;
     std::atomic<double> decode_rate_;
     std::atomic<double> step_seconds_{ 0 };
--- a/src/pollenstream/routing/target_policy.cpp
+++ b/src/pollenstream/routing/target_policy.cpp
@@ -9,12 +9,12 @@
 namespace
 {
 
-/// Part of a target's memory that one large prompt may hold. A larger one is
-/// spread over several targets, which read it at the same time.
-constexpr auto most_for_large = 0.5;
-/// Part of a target's memory that large prompts leave free for short ones,
-/// which would wait for the whole of a long answer otherwise.
-constexpr auto margin_beside_large = 0.15;
+/// Share of a target's memory that one large prompt may hold. A larger one is
+/// split over several targets, which prefill their parts at the same time.
+constexpr auto max_large_prompt_share = 0.5;
+/// Share of a target's memory that large prompts leave free for short ones,
+/// which would otherwise wait until a long answer ends.
+constexpr auto large_prompt_margin = 0.15;
 
 }
 
@@ -25,13 +25,13 @@
 }
 
 auto target_policy::note_dispatch( target_choice const&,
-                                   work_shape const&,
+                                   request_shape const&,
                                    core::instant ) -> void
 {
 }
 
 auto target_policy::note_first_token( target_choice const&,
-                                      work_shape const&,
+                                      request_shape const&,
                                       core::duration ) -> void
 {
 }
@@ -41,31 +41,31 @@
 {
 }
 
-auto most_memory_for( target const& candidate, std::int64_t prompt_tokens )
+auto max_memory_for( target const& candidate, std::int64_t prompt_tokens )
     -> std::int64_t
 {
     auto const total = candidate.total_memory();
-    if ( size_of( prompt_tokens ) != size_class::large )
+    if ( size_class_of( prompt_tokens ) != size_class::large )
         return total;
-    return static_cast<std::int64_t>( most_for_large *
+    return static_cast<std::int64_t>( max_large_prompt_share *
                                       static_cast<double>( total ) );
 }
 
 auto memory_margin_for( target const& candidate, std::int64_t prompt_tokens )
     -> std::int64_t
 {
-    if ( size_of( prompt_tokens ) != size_class::large )
+    if ( size_class_of( prompt_tokens ) != size_class::large )
         return 0;
     return static_cast<std::int64_t>(
-        margin_beside_large * static_cast<double>( candidate.total_memory() ) );
+        large_prompt_margin * static_cast<double>( candidate.total_memory() ) );
 }
 
-auto can_take( target const& candidate, work_shape const& shape ) -> bool
+auto can_take( target const& candidate, request_shape const& shape ) -> bool
 {
     if ( candidate.phase() != target_phase::alive )
         return false;
     auto const needed = shape.prompt_tokens + shape.output_tokens;
-    if ( needed > most_memory_for( candidate, shape.prompt_tokens ) )
+    if ( needed > max_memory_for( candidate, shape.prompt_tokens ) )
         return false;
     if ( shape.tried.empty() )
         return true;
--- a/src/pollenstream/routing/target_table.cpp
+++ b/src/pollenstream/routing/target_table.cpp
@@ -7,16 +7,16 @@
 
 target_table::target_table() : lists_( std::make_unique<by_service const>() ) {}
 
-auto target_table::none() -> target_list const&
+auto target_table::empty_list() -> target_list const&
 {
-    static auto const empty = target_list{};
-    return empty;
+    static auto const list = target_list{};
+    return list;
 }
 
 auto target_table::replace( std::vector<target_identity> const& present,
                             core::instant now ) -> void
 {
-    auto const lock = std::scoped_lock( replacing_ );
+    auto const lock = std::scoped_lock( replace_mutex_ );
     auto former =
         std::unordered_map<core::target_id, std::shared_ptr<target>>{};
     for ( auto const& each : all() )
--- a/src/pollenstream/sessions/session.cpp
+++ b/src/pollenstream/sessions/session.cpp
@@ -71,10 +71,10 @@
     open_next();
 }
 
-auto session::shape() const -> routing::work_shape
+auto session::shape() const -> routing::request_shape
 {
-    auto s = routing::work_shape{};
-    s.order = profile_.order;
+    auto s = routing::request_shape{};
+    s.priority = profile_.order;
     s.prompt_tokens = prompt_tokens_.count() + answer_.position();
     s.output_tokens = max_output_.count() - answer_.position();
     s.prefixes = prefixes_;
@@ -94,7 +94,7 @@
             return std::none_of( all.begin(), all.end(),
                                  [&]( auto const& each )
                                  {
-                                     return routing::most_memory_for(
+                                     return routing::max_memory_for(
                                                 *each, tokens ) >= needed;
                                  } );
         } );
--- a/src/pollenstream/sessions/session.hpp
+++ b/src/pollenstream/sessions/session.hpp
@@ -79,7 +79,7 @@
     auto admit() -> std::optional<ports::answer_end>;
     auto choose_target() -> std::optional<routing::target_choice>;
     auto choose_again() -> std::optional<routing::target_choice>;
-    auto shape() const -> routing::work_shape;
+    auto shape() const -> routing::request_shape;
     auto needs_span_group() const -> bool;
     auto open_next() -> void;
     auto open_single() -> void;
--- a/src/pollenstream/sessions/session_attempts.cpp
+++ b/src/pollenstream/sessions/session_attempts.cpp
@@ -130,7 +130,7 @@
     if ( attempts_ == 1 )
         shared_.metrics.queue_time.add( core::seconds_of( now - admitted_ ) );
     auto work = routing::dispatched_work{};
-    work.order = profile_.order;
+    work.priority = profile_.order;
     work.prompt_tokens = std::max( std::int64_t{ 0 },
                                    prompt_tokens_.count() + answer_.position() -
                                        choice.cached_tokens );
@@ -182,7 +182,7 @@
 
 auto session::arm_stall_check() -> void
 {
-    auto const is_small = routing::size_of( prompt_tokens_.count() ) ==
+    auto const is_small = routing::size_class_of( prompt_tokens_.count() ) ==
                           routing::size_class::small;
     if ( !is_small || moves_ == most_moves )
         return;
--- a/tests/routing/policy_test.cpp
+++ b/tests/routing/policy_test.cpp
@@ -39,10 +39,10 @@
     return r;
 }
 
-auto short_work() -> routing::work_shape
+auto short_request() -> routing::request_shape
 {
-    auto shape = routing::work_shape{};
-    shape.order = profiles::priority::urgent;
+    auto shape = routing::request_shape{};
+    shape.priority = profiles::priority::urgent;
     shape.prompt_tokens = 1'000;
     shape.output_tokens = 32;
     return shape;
@@ -50,7 +50,8 @@
 
 }
 
-TEST_CASE( "own dispatches count until a report can know of them", "[routing]" )
+TEST_CASE( "own dispatches count until the first token or a newer report",
+           "[routing]" )
 {
     auto t = routing::target( identities( 1 ).front() );
     t.take_report( report( 5'000, 0 ), start );
@@ -58,10 +59,10 @@
         routing::dispatched_work{ profiles::priority::urgent, 3'000, 4'000 };
     t.add_dispatch( work );
     CHECK( t.backlog_before( profiles::priority::urgent, start ) == 8'000 );
-    // A fifth of a second at 20,000 tokens a second.
+    // 200 ms at 20,000 tokens a second are 4,000 tokens.
     CHECK( t.backlog_before( profiles::priority::urgent, start + 200ms ) ==
            4'000 );
-    // Work without a first token is there for certain.
+    // Own work without a first token is certainly still there.
     CHECK( t.backlog_before( profiles::priority::urgent, start + 10s ) ==
            3'000 );
     t.end_prefill( work );
@@ -69,7 +70,7 @@
     CHECK( t.free_memory() == 396'000 );
 }
 
-TEST_CASE( "a report older than the last is not taken", "[routing]" )
+TEST_CASE( "a load report older than the last one is ignored", "[routing]" )
 {
     auto t = routing::target( identities( 1 ).front() );
     t.take_report( report( 100, 0 ), start );
@@ -83,16 +84,17 @@
 {
     auto t = routing::target( identities( 1 ).front() );
     t.take_report( report( 0, 300'000 ), start );
-    auto const demand = [&]( profiles::priority order )
+    auto const first_token_seconds = [&]( profiles::priority priority )
     {
-        return routing::predict_first_token( t, { order, 1'000, 1'000 },
-                                             start );
+        return routing::predict_first_token_seconds(
+            t, { priority, 1'000, 1'000 }, start );
     };
-    CHECK( demand( profiles::priority::urgent ) < 0.1 );
-    CHECK( demand( profiles::priority::bulk ) > 15.0 );
+    CHECK( first_token_seconds( profiles::priority::urgent ) < 0.1 );
+    CHECK( first_token_seconds( profiles::priority::bulk ) > 15.0 );
 }
 
-TEST_CASE( "every policy leaves out targets that may get no work", "[routing]" )
+TEST_CASE( "every policy avoids tried targets and those that are not alive",
+           "[routing]" )
 {
     auto table = routing::target_table();
     table.replace( identities( 6 ), start );
@@ -102,7 +104,7 @@
         { "t2", routing::target_phase::gone } };
     for ( auto const& [id, phase] : phases )
         table.find( core::target_id( id ) )->set_phase( phase, start );
-    auto shape = short_work();
+    auto shape = short_request();
     shape.tried = { core::target_id( "t3" ) };
     for ( auto const name : routing::policy_names() )
     {
@@ -123,7 +125,7 @@
     }
 }
 
-TEST_CASE( "the prediction picks the idle target and spreads over equal ones",
+TEST_CASE( "the predicted policy spreads requests over the idle targets",
            "[routing]" )
 {
     auto table = routing::target_table();
@@ -138,12 +140,12 @@
     auto counts = std::map<std::string, int>{};
     for ( auto i = 0; i < 200; ++i )
     {
-        auto const choice =
-            table.read( core::service_id( "s" ),
-                        [&]( routing::target_list const& all )
-                        {
-                            return policy->choose( all, short_work(), start );
-                        } );
+        auto const choice = table.read( core::service_id( "s" ),
+                                        [&]( routing::target_list const& all )
+                                        {
+                                            return policy->choose(
+                                                all, short_request(), start );
+                                        } );
         ++counts[choice->chosen->identity().id.str()];
     }
     CHECK( counts.size() == 2 );
@@ -151,14 +153,15 @@
     CHECK( counts["t3"] > 50 );
 }
 
-TEST_CASE( "a prompt goes where its head is cached", "[routing]" )
+TEST_CASE( "a prompt goes to the target that has cached its prefix",
+           "[routing]" )
 {
     auto table = routing::target_table();
     table.replace( identities( 5 ), start );
     for ( auto const& each : table.all() )
         each->take_report( report( 0, 0 ), start );
     auto const policy = routing::make_policy( "predicted", 1 );
-    auto shape = short_work();
+    auto shape = short_request();
     shape.prompt_tokens = 20'000;
     shape.prefixes = core::mark_prefixes( std::string( 80'000, 'x' ) );
     policy->note_cached( core::target_id( "t2" ), shape.prefixes );
@@ -172,7 +175,8 @@
     CHECK( choice->cached_tokens == 16'384 );
 }
 
-TEST_CASE( "the prefix index is bounded and forgets the oldest", "[routing]" )
+TEST_CASE( "the prefix index is bounded and evicts the least recently used",
+           "[routing]" )
 {
     auto index = routing::prefix_index( 2 );
     auto const at = core::target_id( "t" );
@@ -187,7 +191,8 @@
     CHECK( index.size() == 0 );
 }
 
-TEST_CASE( "a target that stays in the list keeps its load", "[routing]" )
+TEST_CASE( "a target that stays in the list is kept, a missing one is gone",
+           "[routing]" )
 {
     auto table = routing::target_table();
     table.replace( identities( 2 ), start );
