--- a/src/pollenstream/routing/reserved_share.cpp
+++ b/src/pollenstream/routing/reserved_share.cpp
@@ -32,16 +32,15 @@
 auto reserved_share::decaying_sum::add( double amount, core::instant now )
     -> void
 {
-    // Not atomic as a whole: concurrent calls can lose an amount. The share is
-    // an estimate and needs no exact sum.
+    // Two threads may both decay the sum and lose one of the amounts: the
+    // share is an estimate and does not need an exact sum.
     tokens.store( value( now ) + amount, relaxed );
-    updated_at_us.store( now.time_since_epoch().count(), relaxed );
+    at_us.store( now.time_since_epoch().count(), relaxed );
 }
 
 auto reserved_share::decaying_sum::value( core::instant now ) const -> double
 {
-    auto const age =
-        now.time_since_epoch().count() - updated_at_us.load( relaxed );
+    auto const age = now.time_since_epoch().count() - at_us.load( relaxed );
     auto const time_constants =
         static_cast<double>( std::max( std::int64_t{ 0 }, age ) ) /
         static_cast<double>( averaging_time.count() );
@@ -62,15 +61,15 @@
         return 0;
     auto const small = tokens_[0].value( now );
     auto const medium = tokens_[1].value( now );
-    auto const total = small + medium + tokens_[2].value( now );
-    if ( total <= 0 )
+    auto const all = small + medium + tokens_[2].value( now );
+    if ( all <= 0 )
         return 0;
     auto reserved = 0.0;
     if ( small > min_recent_tokens )
         reserved =
-            std::max( min_small_share, small_share_factor * small / total );
+            std::max( min_small_share, small_share_factor * small / all );
     if ( prompt_class == size_class::large && medium > min_recent_tokens )
-        reserved += medium_share_factor * medium / total;
+        reserved += medium_share_factor * medium / all;
     return std::min( reserved, 1.0 - min_share_for_longer );
 }
 
--- a/src/pollenstream/routing/reserved_share.hpp
+++ b/src/pollenstream/routing/reserved_share.hpp
@@ -30,8 +30,8 @@
 private:
     struct decaying_sum
     {
-        std::atomic<double> tokens{ 0 };
-        std::atomic<std::int64_t> updated_at_us{ 0 };
+        std::atomic<double> tokens{ 0 }; ///< as of `at_us`
+        std::atomic<std::int64_t> at_us{ 0 };
 
         auto add( double amount, core::instant now ) -> void;
         [[nodiscard]] auto value( core::instant now ) const -> double;
