--- a/src/pollenstream/membership/member.hpp
+++ b/src/pollenstream/membership/member.hpp
@@ -23,7 +23,7 @@
 /// Name in state dumps: `alive`, `suspect`, `leaving` or `gone`.
 auto name_of( member_phase phase ) -> std::string_view;
 
-/// What one instance knows of an instance of the fleet; the unit of gossip.
+/// The known state of one instance of the fleet, as heartbeats carry it.
 struct member
 {
     core::instance_id id;
--- a/src/pollenstream/membership/target_selection.hpp
+++ b/src/pollenstream/membership/target_selection.hpp
@@ -19,8 +19,8 @@
 };
 
 /// The subset of a service's targets that an instance uses, because hundreds
-/// of instances cannot each watch a thousand targets. Three quarters come from
-/// the own data centre as far as it has enough, and each part is chosen by
+/// of instances cannot each watch a thousand targets. At least three quarters
+/// come from the own data centre if it has enough. Both parts are chosen by
 /// rendezvous hashing, so that the subsets of all instances together cover all
 /// targets evenly.
 auto select_targets( std::vector<ports::listed_target> const& candidates,
