--- a/bench/capacity_rows.cpp
+++ b/bench/capacity_rows.cpp
@@ -168,7 +168,7 @@
     for ( auto const& each : table.all() )
         each->take_report( full_report(), core::instant( 1s ) );
     auto const policy = routing::make_policy( "predicted", 1 );
-    auto shape = routing::work_shape{};
+    auto shape = routing::request_shape{};
     shape.prompt_tokens = 1'500;
     shape.output_tokens = 64;
     row.cpu_microseconds = microseconds_per_run(
@@ -285,7 +285,7 @@
         [&]
         {
             auto const& each = spaces[next++ % spaces.size()];
-            auto const part = membership::part_of_limits(
+            auto const part = membership::limit_share(
                 each.id, core::instance_id( "entry-instance-7" ), alive, 3 );
             return limits
                 .take( each, part, core::token_count( 1 ), core::instant( 2s ) )
