--- a/src/pollenstream/exchange/engine_capacity.cpp
+++ b/src/pollenstream/exchange/engine_capacity.cpp
@@ -6,8 +6,9 @@
 namespace
 {
 
-/// Part of an engine's memory that is handed out: knowledge of others'
-/// dispatches is some ms old, and an overfull engine reads prompts twice.
+/// Share of an engine's KV memory that is allocated. The rest is a reserve: the
+/// load reported by other instances is some milliseconds old, and an engine
+/// that runs out of memory has to repeat the prefill of a prompt.
 constexpr auto usable_memory_share = 0.97;
 
 }
@@ -24,14 +25,14 @@
     return usable_memory( speed ) - t.load.memory_tokens;
 }
 
-auto has_slot( engine_speed const& speed, target_entry const& t ) -> bool
+auto has_free_slot( engine_speed const& speed, target_entry const& t ) -> bool
 {
     return t.load.requests < speed.slots;
 }
 
 auto pass_ms( engine_speed const& speed, target_entry const& t ) -> double
 {
-    return write_pass_ms( speed, t.load.decoding, t.load.context_tokens );
+    return decode_pass_ms( speed, t.load.decoding, t.load.context_tokens );
 }
 
 auto part_time_ms( engine_speed const& speed,
@@ -41,13 +42,13 @@
     return prefill_ms + ( t.load.decoding > 0 ? pass_ms( speed, t ) : 0.0 );
 }
 
-auto harmed_by( target_entry const& t, double pause_ms ) -> double
+auto weight_delayed_by( target_entry const& t, double pause_ms ) -> double
 {
-    auto harmed = 0.0;
+    auto delayed = 0.0;
     for ( auto const& [gap, group] : t.load.by_gap )
         if ( static_cast<double>( gap ) < pause_ms )
-            harmed += group.weight;
-    return harmed;
+            delayed += group.weight;
+    return delayed;
 }
 
 auto ms_of( core::duration d ) -> double
--- a/src/pollenstream/exchange/engine_capacity.hpp
+++ b/src/pollenstream/exchange/engine_capacity.hpp
@@ -9,24 +9,26 @@
 namespace pollenstream::exchange
 {
 
-/// Tokens of memory that may be handed out at an engine without load.
+/// Tokens of KV memory that may be allocated at an idle engine.
 auto usable_memory( engine_speed const& speed ) -> std::int64_t;
-/// Tokens of memory that may still be handed out at `t`.
+/// Tokens of KV memory that may still be allocated at `t`.
 auto free_memory( engine_speed const& speed, target_entry const& t )
     -> std::int64_t;
-/// True where `t` may begin on one more request.
-auto has_slot( engine_speed const& speed, target_entry const& t ) -> bool;
-/// Milliseconds of a pass of writing at `t` with what it writes now.
+/// True if `t` can start one more request.
+auto has_free_slot( engine_speed const& speed, target_entry const& t ) -> bool;
+/// Milliseconds of a decode pass at `t` with the requests that it decodes now.
 auto pass_ms( engine_speed const& speed, target_entry const& t ) -> double;
-/// Time that `t` takes for a part of `prefill_ms`: where answers are written, a
-/// pass of writing comes with it.
+/// Milliseconds that `t` takes for a part of `prefill_ms`. If `t` decodes, the
+/// part shares the engine with a decode pass, whose time is added.
 auto part_time_ms( engine_speed const& speed,
                    target_entry const& t,
                    double prefill_ms ) -> double;
 
-/// Weight of the requests at `t` that tolerate no pause of `pause_ms`.
-auto harmed_by( target_entry const& t, double pause_ms ) -> double;
+/// Total weight of the requests at `t` that do not tolerate a pause of
+/// `pause_ms` between two events.
+auto weight_delayed_by( target_entry const& t, double pause_ms ) -> double;
 
+/// `d` in milliseconds.
 auto ms_of( core::duration d ) -> double;
 
 }
--- a/src/pollenstream/exchange/engine_model.cpp
+++ b/src/pollenstream/exchange/engine_model.cpp
@@ -6,9 +6,9 @@
 namespace
 {
 
-/// Engines hand out memory in blocks of this many tokens; one block more than
-/// needed is counted.
-constexpr auto memory_block = std::int64_t{ 16 };
+/// Engines allocate KV memory in blocks of this many tokens. One extra block is
+/// counted per request, for the last one that is only partly filled.
+constexpr auto memory_block_tokens = std::int64_t{ 16 };
 constexpr auto tokens_per_k = 1'000.0;
 constexpr auto pairs_per_m = 1'000'000.0;
 
@@ -23,9 +23,9 @@
            pairs / pairs_per_m * speed.prefill_ms_per_m_pairs;
 }
 
-auto write_pass_ms( engine_speed const& speed,
-                    std::int64_t decoding,
-                    std::int64_t context_tokens ) -> double
+auto decode_pass_ms( engine_speed const& speed,
+                     std::int64_t decoding,
+                     std::int64_t context_tokens ) -> double
 {
     auto const step =
         speed.step_ms +
@@ -38,7 +38,7 @@
 auto memory_need( std::int64_t prompt_tokens, std::int64_t output_tokens )
     -> std::int64_t
 {
-    return prompt_tokens + output_tokens + memory_block;
+    return prompt_tokens + output_tokens + memory_block_tokens;
 }
 
 }
--- a/src/pollenstream/exchange/engine_model.hpp
+++ b/src/pollenstream/exchange/engine_model.hpp
@@ -8,19 +8,19 @@
 namespace pollenstream::exchange
 {
 
-/// Milliseconds for which one engine is busy when it alone reads a prompt.
-/// Time per token is constant and each token is compared with all before it,
-/// so that long prompts cost by the square.
+/// Milliseconds that one engine takes for the prefill of a whole prompt: a
+/// constant time per token, plus attention over all preceding tokens, which
+/// grows with the square of the prompt's length.
 auto prefill_ms( engine_speed const& speed, std::int64_t prompt_tokens )
     -> double;
 
-/// Milliseconds of one pass in which `decoding` requests write and nothing is
-/// read; `context_tokens` is the sum of their contexts.
-auto write_pass_ms( engine_speed const& speed,
-                    std::int64_t decoding,
-                    std::int64_t context_tokens ) -> double;
+/// Milliseconds of one pass that decodes for `decoding` requests and prefills
+/// nothing; `context_tokens` is the sum of their contexts.
+auto decode_pass_ms( engine_speed const& speed,
+                     std::int64_t decoding,
+                     std::int64_t context_tokens ) -> double;
 
-/// Tokens of KV memory that a request takes up at its end.
+/// Tokens of KV memory that a request occupies when its answer is complete.
 auto memory_need( std::int64_t prompt_tokens, std::int64_t output_tokens )
     -> std::int64_t;
 
--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -422,7 +422,7 @@
     auto capacity = 0.0;
     for ( auto const& t : targets )
     {
-        if ( !has_slot( speed, *t ) || free_memory( speed, *t ) < memory )
+        if ( !has_free_slot( speed, *t ) || free_memory( speed, *t ) < memory )
             continue;
         auto option = option_for( demand, speed, t, own_read, now );
         auto const pass =
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -149,7 +149,7 @@
     auto fitting = std::vector<prefill_candidate>{};
     for ( auto const& t : targets )
     {
-        if ( !has_slot( speed, *t ) || free_memory( speed, *t ) < memory ||
+        if ( !has_free_slot( speed, *t ) || free_memory( speed, *t ) < memory ||
              t->backlog_ms( now ) > max_backlog_ms )
             continue;
         fitting.push_back( prefill_candidate_of( speed, t, part_ms, now ) );
@@ -199,7 +199,7 @@
         if ( engines.size() < parts )
             continue;
         engines.resize( parts );
-        if ( !has_slot( speed, *engines.front().target ) )
+        if ( !has_free_slot( speed, *engines.front().target ) )
             continue;
         take_better( best, std::move( engines ), part_ms, limit );
         if ( part_ms < part_goal_ms )
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -58,7 +58,7 @@
 /// Weight of the requests at `t` that tolerate pauses below `tight_gap_ms`.
 auto tightest_weight( target_entry const& t ) -> double
 {
-    return harmed_by( t, tight_gap_ms );
+    return weight_delayed_by( t, tight_gap_ms );
 }
 
 /// Least harm first, then engines away from those who tolerate least, then
@@ -110,7 +110,8 @@
     auto const backlog = t->backlog_ms( now );
     auto const pause =
         backlog + part_ms + pass_ms( speed, *t ) + unseen_reading_ms;
-    return { t, backlog, harmed_by( *t, pause ), tightest_weight( *t ) };
+    return { t, backlog, weight_delayed_by( *t, pause ),
+             tightest_weight( *t ) };
 }
 
 auto prefill_candidates_of(
