--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -37,7 +37,7 @@
     /// Targets that may have ended by runs of the same content.
     std::size_t crashes{ 0 };
     /// No other wide prompt waits.
-    bool is_alone{ false };
+    bool is_only_split_prompt{ false };
     /// Another wide prompt that can still be in time waits.
     bool others_in_time{ false };
     /// Uniform in 0 to 1, to draw among targets that are equally good.
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -138,8 +138,9 @@
     demand.time_left = deadline_ - now;
     demand.patience_left = waits_until( now ) - now;
     demand.crashes = owner_.crashes_.count( request.content );
-    demand.is_alone = ( in_split_queue_ ? split_prompts.others( due() )
-                                        : split_prompts.size() ) == 0;
+    demand.is_only_split_prompt =
+        ( in_split_queue_ ? split_prompts.others( due() )
+                          : split_prompts.size() ) == 0;
     demand.others_in_time = split_prompts.others_in_time(
         in_split_queue_ ? due() : core::instant::min(), now );
     demand.draw =
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -23,9 +23,9 @@
 /// latency objective.
 constexpr auto part_of_objective = 0.8;
 /// The writer of a long answer is drawn among one of so many engines, if these
-/// harm equally little, so that a large fleet's long answers do not all wait
-/// for one. Spread over three of 14, answers that tolerate 600 ms kept five
-/// engines from reading larger parts.
+/// delayed_weight equally little, so that a large fleet's long answers do not
+/// all wait for one. Spread over three of 14, answers that tolerate 600 ms kept
+/// five engines from reading larger parts.
 constexpr auto engines_per_writer = std::size_t{ 15 };
 /// How much sooner in ms a division into one more part has to end: each part
 /// costs its engine a pass. Where all engines are busy a prompt in many parts
@@ -53,17 +53,18 @@
 
 /// What placing a prompt of `total_ms` of reading in at most `max_parts` of
 /// the engines may cost others.
-auto limit_for( placement_demand const& demand,
-                std::vector<std::shared_ptr<target_entry>> const& targets,
-                std::size_t max_parts,
-                double total_ms,
-                core::instant now ) -> harm_limit
+auto limits_of_division(
+    placement_demand const& demand,
+    std::vector<std::shared_ptr<target_entry>> const& targets,
+    std::size_t max_parts,
+    double total_ms,
+    core::instant now ) -> division_limits
 {
-    auto limit = harm_allowed( demand, targets.size() );
-    limit.max_parts = static_cast<double>( max_parts );
-    limit.alone_ms = demand.is_alone ? total_ms : 0.0;
-    limit.part_cost_ms = part_cost( targets, now );
-    return limit;
+    auto limits = division_limits_for( demand, targets.size() );
+    limits.max_parts = static_cast<double>( max_parts );
+    limits.only_split_prefill_ms = demand.is_only_split_prompt ? total_ms : 0.0;
+    limits.part_cost_ms = part_cost( targets, now );
+    return limits;
 }
 
 auto make_choice( engine_speed const& speed, division const& divided )
@@ -101,7 +102,8 @@
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
     auto const max_parts = std::min( targets.size(), max_helpers + 1 );
-    auto const limit = limit_for( demand, targets, max_parts, total, now );
+    auto const limits =
+        limits_of_division( demand, targets, max_parts, total, now );
     // The longer a request waits, the fewer engines it makes do with.
     auto const most_part = ms_of( demand.gap_objective ) * part_of_own_gap *
                            ( 1 + core::seconds_of( demand.waited ) );
@@ -125,7 +127,7 @@
             break;
         engines.resize( parts - 1 );
         engines.insert( engines.begin(), *writer );
-        take_better( best, std::move( engines ), part_ms, limit );
+        keep_if_better( best, std::move( engines ), part_ms, limits );
         if ( part_ms < part_goal_ms )
             break;
     }
@@ -150,19 +152,20 @@
     for ( auto const& t : targets )
     {
         if ( !has_free_slot( speed, *t ) || free_memory( speed, *t ) < memory ||
-             t->backlog_ms( now ) > max_backlog_ms )
+             t->backlog_ms( now ) > max_decode_target_backlog_ms )
             continue;
         fitting.push_back( prefill_candidate_of( speed, t, part_ms, now ) );
     }
     if ( fitting.empty() )
         return std::nullopt;
-    std::stable_sort( fitting.begin(), fitting.end(), writes_better );
+    std::stable_sort( fitting.begin(), fitting.end(), is_better_decode_target );
     auto const most = std::min(
         fitting.size(),
         std::max( std::size_t{ 1 }, targets.size() / engines_per_writer ) );
     auto equal = std::size_t{ 1 };
-    while ( equal < most && fitting[equal].harm == fitting[0].harm &&
-            fitting[equal].tight == fitting[0].tight )
+    while ( equal < most &&
+            fitting[equal].delayed_weight == fitting[0].delayed_weight &&
+            fitting[equal].interactive_weight == fitting[0].interactive_weight )
         ++equal;
     auto const drawn =
         static_cast<std::size_t>( draw * static_cast<double>( equal ) );
@@ -184,7 +187,8 @@
                              std::min( service_targets, max_helpers ) ) )
         return not_placed( placement_obstacle::too_large );
     auto const max_parts = std::min( targets.size(), max_helpers );
-    auto const limit = limit_for( demand, targets, max_parts, total, now );
+    auto const limits =
+        limits_of_division( demand, targets, max_parts, total, now );
     auto const most_part =
         std::max( ms_of( demand.latency_objective ) * part_of_objective,
                   total / static_cast<double>( max_parts ) );
@@ -201,7 +205,7 @@
         engines.resize( parts );
         if ( !has_free_slot( speed, *engines.front().target ) )
             continue;
-        take_better( best, std::move( engines ), part_ms, limit );
+        keep_if_better( best, std::move( engines ), part_ms, limits );
         if ( part_ms < part_goal_ms )
             break;
     }
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -9,95 +9,103 @@
 namespace
 {
 
-/// Part of the latency objective that has to be left when a long prompt stops
-/// waiting for engines without short writers and takes what there is.
-constexpr auto impatient_share = 0.45;
-/// Reading of short prompts that joins a pass later: one of the usual ones.
-/// Twice as much kept long prompts waiting for engines that would have done:
-/// 0.667 of worth instead of 0.681 (45 engines, ten played days; none at all
-/// gave 0.673).
-constexpr auto unseen_reading_ms = 20.0;
-/// Pauses below this belong to answers that a person watches being written.
-constexpr auto tight_gap_ms = 300.0;
-/// When a long prompt placed now has to be read, its engines' backlog
-/// included, where it takes all engines. The shortest objective of a long route
-/// of the first deployments is 1.5 s: with a backlog of a second these are
+/// A prompt is urgent when less than this share of its latency objective is
+/// left. It then no longer waits for engines without interactive requests.
+constexpr auto urgent_slack_share = 0.45;
+/// Prefill of short prompts that is expected to join the engine after the
+/// placement: one prompt of the typical size. Without it pauses are predicted
+/// too short; with twice as much, long prompts wait for other engines although
+/// the free ones would do.
+constexpr auto expected_join_prefill_ms = 20.0;
+/// Requests that tolerate only shorter pauses are interactive: a person reads
+/// their answers as they arrive.
+constexpr auto interactive_gap_ms = 300.0;
+/// Time in which the prefill of a prompt that takes all engines has to end, the
+/// backlog of the engines included. The shortest latency objective of a route
+/// for long prompts is 1.5 s: behind a backlog of one second such prompts are
 /// still in time, so that one prompt of a million tokens does not make all
 /// others late.
-constexpr auto latest_finish_ms = 1'000.0;
-/// A prompt that leaves most engines to others may take longer: this many ms
-/// for each time that its engines go into all of them, up to a limit.
-constexpr auto finish_per_share_ms = 400.0;
-constexpr auto most_finish_ms = 1'800.0;
-/// But while no other one waits, a prompt may take this many times what it
-/// takes when it is divided as far as can be, or the longest ones would never
-/// be placed. In a wave they would make several others late each.
-constexpr auto least_finish_parts = 1.5;
-/// Share of the engines that it may take for that when it is late itself: a
-/// wave of short prompts may begin at any moment, and finds the others free.
-constexpr auto late_share = 0.5;
-/// When a prompt has to be read that is late itself, and one whose caller is
-/// about to leave: it is now or never.
-constexpr auto latest_finish_when_late_ms = 600.0;
-constexpr auto latest_finish_at_last_ms = 2'500.0;
-constexpr auto last_chance = core::duration( 3'000'000 );
-/// What has to be left of the caller's patience when a prompt is read at the
-/// last chance: predictions are late by a pass or two.
+constexpr auto max_finish_ms = 1'000.0;
+/// A prompt that takes a share of the engines may take longer: this time
+/// divided by the share, up to `max_partial_finish_ms`.
+constexpr auto finish_ms_per_engine_share = 400.0;
+constexpr auto max_partial_finish_ms = 1'800.0;
+/// While no other split prompt waits, a prompt may take this multiple of the
+/// time that it takes in as many parts as possible; otherwise the longest
+/// prompts would never be placed. While others wait it does not apply, as each
+/// of the longest prompts would make several others late.
+constexpr auto only_split_finish_factor = 1.5;
+/// Share of the engines that a late prompt may take under that rule. The others
+/// stay free for a burst of short prompts, which may begin at any moment.
+constexpr auto late_prompt_engine_share = 0.5;
+/// Time in which the prefill has to end for a prompt that is late itself, and
+/// for one at its last chance: its caller leaves within `last_chance_patience`.
+constexpr auto max_finish_when_late_ms = 600.0;
+constexpr auto max_finish_at_last_chance_ms = 2'500.0;
+constexpr auto last_chance_patience = core::duration( 3'000'000 );
+/// Time that has to remain until the caller leaves when the prefill at the last
+/// chance ends. First events come a pass or two later than predicted.
 constexpr auto last_chance_margin_ms = 500.0;
-/// Part of its weight that a prompt may then make late. Late itself, it earns a
-/// quarter, and the others lose three quarters.
-constexpr auto last_chance_harm = 0.33;
-/// Reading that waits at the writer of a long answer before another one is
-/// taken: a third of the shortest objective of a long route, 1.5 s.
-constexpr auto longest_queue_ms = 500.0;
-/// Part of its weight that a prompt which is about to be late may make late of
-/// others: the three quarters that it would lose, for the six of ten that are
-/// then in time indeed.
-constexpr auto impatient_harm = 0.45;
+/// Weight of other requests that a prompt may make late at its last chance, as
+/// a share of its own. A late answer counts a quarter of its weight: the prompt
+/// gains that quarter, and each request that it makes late loses the other
+/// three quarters.
+constexpr auto last_chance_weight_share = 0.33;
+/// Backlog above which other decode targets are preferred: a third of the
+/// shortest latency objective of a route for long prompts, 1.5 s.
+constexpr auto preferred_decode_backlog_ms = 500.0;
+/// Weight of other requests that an urgent prompt may make late, as a share of
+/// its own: the three quarters of its weight that it would lose by being late,
+/// times the six in ten urgent prompts that are in time when placed so.
+constexpr auto urgent_weight_share = 0.45;
 
-/// Weight of the requests at `t` that tolerate pauses below `tight_gap_ms`.
-auto tightest_weight( target_entry const& t ) -> double
+/// Total weight of the interactive requests at `t`.
+auto interactive_weight_of( target_entry const& t ) -> double
 {
-    return weight_delayed_by( t, tight_gap_ms );
+    return weight_delayed_by( t, interactive_gap_ms );
 }
 
-/// Least harm first, then engines away from those who tolerate least, then
-/// engines that write nothing, then the end of the order that short prompts
-/// fill last.
-auto goes_before( prefill_candidate const& a, prefill_candidate const& b )
-    -> bool
+/// Orders by the weight of delayed requests, then by the weight of interactive
+/// requests; then engines without requests come first, then those of the
+/// highest rank, which short prompts fill last.
+auto is_better_prefill_candidate( prefill_candidate const& a,
+                                  prefill_candidate const& b ) -> bool
 {
-    auto const a_writes = a.target->load.requests > 0;
-    auto const b_writes = b.target->load.requests > 0;
-    if ( a.harm != b.harm )
-        return a.harm < b.harm;
-    if ( a.tight != b.tight )
-        return a.tight < b.tight;
-    if ( a_writes != b_writes )
-        return b_writes;
+    auto const a_has_requests = a.target->load.requests > 0;
+    auto const b_has_requests = b.target->load.requests > 0;
+    if ( a.delayed_weight != b.delayed_weight )
+        return a.delayed_weight < b.delayed_weight;
+    if ( a.interactive_weight != b.interactive_weight )
+        return a.interactive_weight < b.interactive_weight;
+    if ( a_has_requests != b_has_requests )
+        return b_has_requests;
     return a.target->rank > b.target->rank;
 }
 
-/// When a prompt that takes `parts` engines has to be read.
-auto latest_for( harm_limit const& limit, std::size_t parts ) -> double
+/// Time in ms in which a division into `parts` has to end.
+auto max_finish_of( division_limits const& limits, std::size_t parts ) -> double
 {
-    auto const share = static_cast<double>( parts ) / limit.engines;
+    auto const share = static_cast<double>( parts ) / limits.engine_count;
     auto const max_parts =
-        limit.is_late ? std::min( limit.max_parts, limit.engines * late_share )
-                      : limit.max_parts;
+        limits.is_late
+            ? std::min( limits.max_parts,
+                        limits.engine_count * late_prompt_engine_share )
+            : limits.max_parts;
     auto const longest = static_cast<double>( parts ) <= max_parts
-                             ? limit.alone_ms / max_parts * least_finish_parts
+                             ? limits.only_split_prefill_ms / max_parts *
+                                   only_split_finish_factor
                              : 0.0;
-    return std::max(
-        { limit.latest_ms, longest,
-          std::min( finish_per_share_ms / share, most_finish_ms ) } );
+    return std::max( { limits.all_engines_finish_ms, longest,
+                       std::min( finish_ms_per_engine_share / share,
+                                 max_partial_finish_ms ) } );
 }
 
-auto latest_finish( placement_demand const& demand ) -> double
+/// Time in ms in which a division over all engines has to end.
+auto all_engines_finish_of( placement_demand const& demand ) -> double
 {
     if ( demand.waited > demand.latency_objective )
-        return latest_finish_when_late_ms;
-    return latest_finish_ms;
+        return max_finish_when_late_ms;
+    return max_finish_ms;
 }
 
 }
@@ -109,9 +117,9 @@
 {
     auto const backlog = t->backlog_ms( now );
     auto const pause =
-        backlog + part_ms + pass_ms( speed, *t ) + unseen_reading_ms;
+        backlog + part_ms + pass_ms( speed, *t ) + expected_join_prefill_ms;
     return { t, backlog, weight_delayed_by( *t, pause ),
-             tightest_weight( *t ) };
+             interactive_weight_of( *t ) };
 }
 
 auto prefill_candidates_of(
@@ -126,34 +134,34 @@
         if ( t->load.own_parts_prefilling == 0 && t->backlog_ms( now ) <= 0 &&
              free_memory( speed, *t ) >= memory )
             engines.push_back( prefill_candidate_of( speed, t, part_ms, now ) );
-    std::sort( engines.begin(), engines.end(), goes_before );
+    std::sort( engines.begin(), engines.end(), is_better_prefill_candidate );
     return engines;
 }
 
-auto writes_better( prefill_candidate const& a, prefill_candidate const& b )
-    -> bool
+auto is_better_decode_target( prefill_candidate const& a,
+                              prefill_candidate const& b ) -> bool
 {
-    if ( a.harm != b.harm )
-        return a.harm < b.harm;
-    if ( a.tight != b.tight )
-        return a.tight < b.tight;
-    auto const a_waits = a.backlog_ms > longest_queue_ms;
-    auto const b_waits = b.backlog_ms > longest_queue_ms;
-    if ( a_waits != b_waits )
-        return b_waits;
+    if ( a.delayed_weight != b.delayed_weight )
+        return a.delayed_weight < b.delayed_weight;
+    if ( a.interactive_weight != b.interactive_weight )
+        return a.interactive_weight < b.interactive_weight;
+    auto const a_is_behind = a.backlog_ms > preferred_decode_backlog_ms;
+    auto const b_is_behind = b.backlog_ms > preferred_decode_backlog_ms;
+    if ( a_is_behind != b_is_behind )
+        return b_is_behind;
     return a.target->load.requests > b.target->load.requests;
 }
 
-auto harm_allowed( placement_demand const& demand, std::size_t engines )
-    -> harm_limit
+auto division_limits_for( placement_demand const& demand, std::size_t engines )
+    -> division_limits
 {
     auto const all = static_cast<double>( engines );
-    if ( demand.patience_left < last_chance )
+    if ( demand.patience_left < last_chance_patience )
     {
         auto const finish =
-            std::min( latest_finish_at_last_ms,
+            std::min( max_finish_at_last_chance_ms,
                       ms_of( demand.patience_left ) - last_chance_margin_ms );
-        return { weight_of( demand.prompt_tokens ) * last_chance_harm,
+        return { weight_of( demand.prompt_tokens ) * last_chance_weight_share,
                  finish,
                  finish,
                  0,
@@ -162,34 +170,38 @@
                  true };
     }
     auto const slack = ms_of( demand.latency_objective - demand.waited );
-    auto const is_impatient =
-        slack < ms_of( demand.latency_objective ) * impatient_share;
+    auto const is_urgent =
+        slack < ms_of( demand.latency_objective ) * urgent_slack_share;
     auto const weight =
-        is_impatient ? weight_of( demand.prompt_tokens ) * impatient_harm : 0.0;
+        is_urgent ? weight_of( demand.prompt_tokens ) * urgent_weight_share
+                  : 0.0;
     auto const is_late = demand.waited > demand.latency_objective;
-    return { weight, slack, latest_finish( demand ), all, 0, 0, is_late };
+    return { weight, slack,  all_engines_finish_of( demand ), all, 0,
+             0,      is_late };
 }
 
-auto take_better( std::optional<division>& best,
-                  std::vector<prefill_candidate> engines,
-                  double part_ms,
-                  harm_limit limit ) -> void
+auto keep_if_better( std::optional<division>& best,
+                     std::vector<prefill_candidate> engines,
+                     double part_ms,
+                     division_limits limits ) -> void
 {
-    auto harm = 0.0;
+    auto delayed_weight = 0.0;
     auto backlog = 0.0;
     for ( auto const& r : engines )
     {
-        harm += r.harm;
+        delayed_weight += r.delayed_weight;
         backlog = std::max( backlog, r.backlog_ms );
     }
     auto const finish = backlog + part_ms;
-    if ( finish > latest_for( limit, engines.size() ) ||
-         harm > ( finish <= limit.until_ms ? limit.weight : 0 ) )
+    if ( finish > max_finish_of( limits, engines.size() ) ||
+         delayed_weight > ( finish <= limits.on_time_finish_ms
+                                ? limits.max_delayed_weight
+                                : 0 ) )
         return;
     auto const more_parts =
         best ? static_cast<double>( engines.size() - best->engines.size() )
              : 0.0;
-    if ( !best || finish + limit.part_cost_ms * more_parts < best->finish_ms )
+    if ( !best || finish + limits.part_cost_ms * more_parts < best->finish_ms )
         best = division{ std::move( engines ), part_ms, finish };
 }
 
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -12,70 +12,74 @@
 namespace pollenstream::exchange
 {
 
-/// Longest reading that may wait at the engine that answers a long prompt. It
-/// reads that prompt after all that it reads for others.
-inline constexpr auto max_backlog_ms = 1'500.0;
+/// Largest backlog of an engine that may become the decode target of a long
+/// prompt. It prefills that prompt after all parts for other engines.
+inline constexpr auto max_decode_target_backlog_ms = 1'500.0;
 
-/// The platform's engines take so many helpers at most beside the first.
+/// The platform's engines accept at most this many helpers per prompt, not
+/// counting the decode target.
 inline constexpr auto max_helpers = std::size_t{ 16 };
 
-/// Memory in tokens that each of `parts` engines holds of a prompt.
+/// KV memory in tokens that a request takes at each of `parts` engines when its
+/// `memory` is spread over them.
 constexpr auto part_memory( std::int64_t memory, std::size_t parts )
     -> std::int64_t
 {
     return memory / static_cast<std::int64_t>( parts ) + 1;
 }
 
-/// An engine that may read a part of a long prompt.
+/// An engine that may prefill a part of a long prompt.
 struct prefill_candidate
 {
     std::shared_ptr<target_entry> target;
     double backlog_ms{ 0 };
-    double harm{ 0 };  ///< weight of the requests whose pauses would be late
-    double tight{ 0 }; ///< weight of the requests that tolerate least
+    double delayed_weight{
+        0 }; ///< of the requests whose pauses would get too long
+    double interactive_weight{
+        0 }; ///< of the requests that tolerate only short pauses
 };
 
-/// A way to divide a long prompt among engines; the first writes.
+/// A way to divide a long prompt among engines; the first one decodes.
 struct division
 {
     std::vector<prefill_candidate> engines;
     double part_ms{ 0 };
-    double finish_ms{ 0 }; ///< when the last part is read
+    double finish_ms{ 0 }; ///< predicted end of the last part, from now
 };
 
-/// What a placement may cost others.
-struct harm_limit
+/// Limits of a division, which bound the delay of other requests. Times are
+/// counted from now.
+struct division_limits
 {
-    double weight{ 0 };    ///< that may be made late to have this one in time
-    double until_ms{ 0 };  ///< when it has to be read to be in time
-    double latest_ms{ 0 }; ///< when it has to be read if it takes all engines
-    double engines{ 0 };   ///< that could take it
-    double max_parts{ 0 }; ///< into which a prompt may be divided
-    /// Reading time of the whole prompt; zero while others wait.
-    double alone_ms{ 0 };
-    bool is_late{ false }; ///< it is past its objective
-    /// A division into more parts has to end this much sooner for each.
+    /// Weight of other requests that may be made late if this one is in time.
+    double max_delayed_weight{ 0 };
+    double on_time_finish_ms{ 0 }; ///< end of prefill that is still in time
+    /// Latest end of prefill if all engines take a part.
+    double all_engines_finish_ms{ 0 };
+    double engine_count{ 0 }; ///< engines that could take a part
+    double max_parts{ 0 };
+    /// Prefill time of the whole prompt on one engine; 0 while other split
+    /// prompts wait.
+    double only_split_prefill_ms{ 0 };
+    bool is_late{ false }; ///< the request is past its latency objective
+    /// Each additional part has to end the prefill this much sooner.
     double part_cost_ms{ 0 };
 };
 
-/// The reader that `t` would be for a part of `part_ms`, with what that does to
-/// the requests there.
+/// The candidate that `t` is for a part of `part_ms`, with the weight of the
+/// requests that the part would delay there.
 auto prefill_candidate_of( engine_speed const& speed,
                            std::shared_ptr<target_entry> const& t,
                            double part_ms,
                            core::instant now ) -> prefill_candidate;
 
-/// The engines that may read a part for another, best first; each has
-/// `memory` free and nothing to read.
+/// The engines that may prefill a part for another engine, best first. Each has
+/// `memory` free and nothing to prefill.
 ///
-/// An engine reads for others before it reads for itself, and what came last
-/// first, so that a part which joins delays all that came before it: of 53
-/// prompts of 24,000 tokens and more that were late though predicted in time,
-/// 43 had been overtaken so by parts of 1 to 1.5 s (78 engines, three calm
-/// days). To wait for engines that are free, instead of joining in the first
-/// 250 ms or being sent to booked ones, gains 0.03 of worth there (eight calm
-/// days; error 0.009); on 14 to 18 engines it is within the error of 0.006 (30
-/// days with trouble).
+/// Engines with a backlog are left out: an engine prefills parts for other
+/// engines before its own prompts, and the latest part first. A part that joins
+/// would delay all earlier ones by up to 1.5 s, so that prompts come late that
+/// were predicted in time.
 auto prefill_candidates_of(
     engine_speed const& speed,
     std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -83,24 +87,27 @@
     std::int64_t memory,
     core::instant now ) -> std::vector<prefill_candidate>;
 
-/// Least harm, then away from those who tolerate least, then where little is
-/// read, then where most is written already, so that other engines stay free
-/// to read.
-auto writes_better( prefill_candidate const& a, prefill_candidate const& b )
-    -> bool;
-
-/// Nothing while the request can wait, and nothing once it is late itself, but
-/// for the last chance: an answer that never comes is worse than a few late
-/// ones.
-auto harm_allowed( placement_demand const& demand, std::size_t engines )
-    -> harm_limit;
-
-/// Puts the division of a prompt among `engines` into `best` if it harms no
-/// more than `limit` and ends sooner by more than its parts cost.
-auto take_better( std::optional<division>& best,
-                  std::vector<prefill_candidate> engines,
-                  double part_ms,
-                  harm_limit limit ) -> void;
+/// Orders decode targets by the weight of delayed requests, then by the weight
+/// of interactive requests, then by whether their backlog is short; then those
+/// with the most requests come first, so that other engines stay free for
+/// prefill.
+auto is_better_decode_target( prefill_candidate const& a,
+                              prefill_candidate const& b ) -> bool;
+
+/// The limits of a division for `demand` over `engines` engines. No other
+/// request may be made late while this one can wait, nor once it is late
+/// itself; except shortly before its caller leaves, as an answer that never
+/// comes is worse than a few late ones.
+auto division_limits_for( placement_demand const& demand, std::size_t engines )
+    -> division_limits;
+
+/// Replaces `best` by the division of a prompt among `engines` if that is
+/// within `limits` and ends sooner by more than the cost of its additional
+/// parts.
+auto keep_if_better( std::optional<division>& best,
+                     std::vector<prefill_candidate> engines,
+                     double part_ms,
+                     division_limits limits ) -> void;
 
 }
 
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -38,7 +38,7 @@
         demand.time_left = 10s;
         demand.patience_left = patience;
         demand.draw = draw;
-        demand.is_alone = is_alone;
+        demand.is_only_split_prompt = is_only_split_prompt;
         demand.others_in_time = others_in_time;
         demand.crashes = crashes;
         return chooser.choose( demand, service, now );
@@ -90,7 +90,7 @@
     core::duration waited{ 0 };
     core::duration patience{ 10s };
     double draw{ 0 };
-    bool is_alone{ false };
+    bool is_only_split_prompt{ false };
     bool others_in_time{ false };
     std::uint64_t serial{ 0 };
     std::size_t crashes{ 0 };
@@ -403,7 +403,7 @@
     for ( auto const tokens : { 500'000, 700'000, 850'000, 1'000'000 } )
     {
         auto floor = engine_floor{};
-        floor.is_alone = true;
+        floor.is_only_split_prompt = true;
         INFO( tokens );
         REQUIRE( floor.place( tokens, 800ms ) );
         CHECK( floor.last.choice->needs_reservation );
@@ -415,7 +415,7 @@
            "[placement]" )
 {
     auto floor = engine_floor{};
-    floor.is_alone = true;
+    floor.is_only_split_prompt = true;
     floor.waited = 9s;
     // Parts of 1.1 s at most engines would meet a wave of short prompts.
     REQUIRE( floor.place( 441'000, 800ms ) );
