--- a/src/pollenstream/exchange/split_queue.hpp
+++ b/src/pollenstream/exchange/split_queue.hpp
@@ -9,10 +9,11 @@
 namespace pollenstream::exchange
 {
 
-/// Wide prompts that wait for engines, by the time at which each has to have
-/// its first event. A prompt is wide where several engines read it at once.
+/// The due times of the split prompts that wait for engines: the times by which
+/// their first events have to come. The prefill of a split prompt is divided
+/// among several engines.
 ///
-/// Used by one thread.
+/// Not thread-safe.
 class split_queue
 {
 public:
@@ -21,17 +22,17 @@
 
     [[nodiscard]] auto size() const -> std::size_t
     {
-        return dues_.size();
+        return due_times_.size();
     }
-    /// Those that wait besides one that is due at `except`.
-    [[nodiscard]] auto others( core::instant except ) const -> std::size_t;
-    /// True where one that is still in time waits besides one that is due at
-    /// `except`.
-    [[nodiscard]] auto others_in_time( core::instant except,
+    /// Number of prompts that wait, without one that is due at `excluded`.
+    [[nodiscard]] auto others( core::instant excluded ) const -> std::size_t;
+    /// True if a prompt that is not late at `now` waits, without counting one
+    /// that is due at `excluded`.
+    [[nodiscard]] auto others_in_time( core::instant excluded,
                                        core::instant now ) const -> bool;
 
 private:
-    std::multiset<core::instant> dues_;
+    std::multiset<core::instant> due_times_;
 };
 
 }
--- a/tests/exchange/split_queue_test.cpp
+++ b/tests/exchange/split_queue_test.cpp
@@ -8,7 +8,7 @@
 namespace core = pollenstream::core;
 namespace exchange = pollenstream::exchange;
 
-TEST_CASE( "a wide prompt does not count itself among those that wait",
+TEST_CASE( "a split prompt does not count itself among those that wait",
            "[wide]" )
 {
     auto queue = exchange::split_queue{};
@@ -18,19 +18,19 @@
     CHECK( queue.others( now + 2s ) == 1 );
     CHECK_FALSE( queue.others_in_time( now + 1s, now ) );
     CHECK( queue.others_in_time( now + 2s, now ) );
-    SECTION( "but another one that is due at the same moment does" )
+    SECTION( "but it counts another one with the same due time" )
     {
         queue.enter( now + 1s );
         CHECK( queue.others( now + 1s ) == 1 );
         CHECK( queue.others_in_time( now + 1s, now ) );
     }
-    SECTION( "one that is late waits, and is not in time" )
+    SECTION( "a late prompt counts as waiting, but not as in time" )
     {
         queue.enter( now - 1s );
         CHECK( queue.others( now + 1s ) == 1 );
         CHECK_FALSE( queue.others_in_time( now + 1s, now ) );
     }
-    SECTION( "one that has left does not wait" )
+    SECTION( "a prompt that has left no longer counts" )
     {
         queue.leave( now + 1s );
         queue.leave( now + 1s );
