--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -12,48 +12,48 @@
 namespace
 {
 
-/// A prompt is long where reading it takes more than this part of the
-/// shortest pause that a route of the service tolerates: beside writers of
-/// that route it would spoil their answers.
-constexpr auto long_part_of_gap = 0.6;
-/// Part of the tolerated pause up to which short prompts join the reading and
-/// writing of an engine. More would leave nothing for those that arrive within
-/// the same pass; less spreads a clump of arrivals over many engines.
-constexpr auto short_pass_of_gap = 0.8;
-/// Share of an engine's slots up to which short prompts are packed before the
-/// next engine is opened; packing leaves whole engines for long prompts.
-constexpr auto packed_share = 0.9;
-/// Short prompts are spread over as many free places as arrive in this time, so
-/// that those that come within a pass do not all wait for the same one. An
-/// instance that places without its coordinators also does not know of others'
-/// choices for some tens of ms. Without the spread 0.653 of worth instead of
-/// 0.660 (45 engines, ten played days).
-constexpr auto unseen_seconds = 0.1;
-/// Free places over which short prompts are spread at least.
-constexpr auto least_spread = 6.0;
-/// Passes from a short prompt's arrival to its first event: what is left of the
-/// present one, and the one in which it is read. What waits to be read prolongs
-/// both. Fitted to 26,600 first events of engines that read short prompts only.
-/// With one pass and one backlog they came 52 ms later than predicted; where
-/// more than 60 ms waited it was 117 ms, and 37 in 100 were late.
-constexpr auto first_per_pass = 1.6;
-constexpr auto first_per_backlog = 1.7;
-/// Part of the latency objective that the predicted first event of a short
-/// prompt may take; the rest is for those that join unseen.
-constexpr auto first_of_objective = 0.65;
-/// Reading of one that joins, at least.
-constexpr auto least_join_ms = 15.0;
-/// Long prompts are pressing while this share of the engines reads for longer
-/// than short prompts would. Short ones are then packed closer, though some are
-/// late: an engine that is opened for one of them reads no long prompt.
-constexpr auto pressing_share = 0.25;
-constexpr auto long_reading_ms = 150.0;
-/// Predicted first events that differ by less are taken for equal: a third of
-/// a pass, which nobody knows the beginning of.
-constexpr auto equally_soon_ms = 15.0;
-/// A plain target of another place is chosen only where it has this much less
-/// load, in parts of its slots.
-constexpr auto far_place_load = 0.34;
+/// A prompt is long if its prefill takes more than this share of the shortest
+/// pause objective of the service's routes: on the same engine it would delay
+/// the answers of those routes.
+constexpr auto long_prefill_per_gap = 0.6;
+/// Share of the pause objective up to which short prompts join an engine's
+/// passes. A larger share leaves no time for prompts that arrive within the
+/// same pass; a smaller one spreads a burst of arrivals over many engines.
+constexpr auto max_pass_per_gap = 0.8;
+/// Share of an engine's slots that short prompts fill before the next engine
+/// gets any. Packing keeps whole engines free for long prompts.
+constexpr auto packed_slot_share = 0.9;
+/// Short prompts are spread over capacity for as many requests as arrive in
+/// this time, so that those that arrive within one pass do not all wait at the
+/// same engine. An instance that places without a coordinator also learns of
+/// other instances' choices only after some tens of milliseconds.
+constexpr auto spread_window_seconds = 0.1;
+/// Minimum capacity, in requests, over which short prompts are spread.
+constexpr auto min_spread = 6.0;
+/// Factors of the predicted first event of a short prompt. It comes after the
+/// rest of the current pass and the pass with its own prefill, and a backlog
+/// prolongs both. With factors of one, first events come 52 ms later than
+/// predicted, and 117 ms later behind a backlog above 60 ms.
+constexpr auto first_event_per_pass = 1.6;
+constexpr auto first_event_per_backlog = 1.7;
+/// Share of the latency objective that the predicted first event of a short
+/// prompt may take. The rest is a reserve for prompts that join the engine
+/// without this instance knowing.
+constexpr auto max_first_event_per_objective = 0.65;
+/// Minimum prefill time assumed for each prompt that joins.
+constexpr auto min_join_prefill_ms = 15.0;
+/// Long prompts dominate while this share of the engines has a backlog above
+/// `long_backlog_ms`, which short prompts alone do not cause. Short prompts are
+/// then packed closer, although some get late: an engine that gets one of them
+/// takes no part of long prompts.
+constexpr auto long_engine_share = 0.25;
+constexpr auto long_backlog_ms = 150.0;
+/// Predicted first events that differ by less count as equal. It is a third of
+/// a pass: when an engine's current pass began is not known.
+constexpr auto equal_first_event_ms = 15.0;
+/// Added to the load of plain targets in other data centres, as a share of
+/// their slots: one of them is chosen only if its load is lower by more.
+constexpr auto remote_load_penalty = 0.34;
 
 auto contains( std::vector<core::target_id> const& all,
                core::target_id const& id ) -> bool
@@ -61,7 +61,7 @@
     return std::find( all.begin(), all.end(), id ) != all.end();
 }
 
-/// True where long prompts wait, or take many of the engines.
+/// True if long prompts wait or occupy a large share of the engines.
 auto long_prompts_dominate(
     placement_demand const& demand,
     std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -69,65 +69,72 @@
 {
     if ( demand.others_in_time )
         return true;
-    auto const reading =
+    auto const busy =
         std::count_if( targets.begin(), targets.end(),
                        [now]( auto const& t )
                        {
-                           return t->backlog_ms( now ) > long_reading_ms;
+                           return t->backlog_ms( now ) > long_backlog_ms;
                        } );
-    return static_cast<double>( reading ) >=
-           pressing_share * static_cast<double>( targets.size() );
+    return static_cast<double>( busy ) >=
+           long_engine_share * static_cast<double>( targets.size() );
 }
 
 /// An engine that may take a short prompt.
 struct short_option
 {
     std::shared_ptr<target_entry> target;
-    double first_ms{ 0 }; ///< predicted first event, from now
-    double capacity{ 0 }; ///< requests that it may still take
-    /// Short prompts that it may read at once, this one included, before the
-    /// first event of one is late.
-    double joins{ 0 };
+    double first_event_ms{ 0 }; ///< predicted first event, from now
+    double capacity{ 0 };       ///< requests that it may still get
+    /// Short prompts that can join it at once, this one included, until a first
+    /// event is late.
+    double max_joining{ 0 };
 };
 
-/// `target` as it is for a short prompt that reads for `own_read_ms`.
+/// The option that `target` is for a short prompt with a prefill of
+/// `own_prefill_ms`.
 auto option_for( placement_demand const& demand,
                  engine_speed const& speed,
                  std::shared_ptr<target_entry> const& target,
-                 double own_read_ms,
+                 double own_prefill_ms,
                  core::instant now ) -> short_option
 {
     auto option = short_option{ target, 0, 0, 0 };
-    option.first_ms = target->backlog_ms( now ) * first_per_backlog +
-                      own_read_ms + pass_ms( speed, *target ) * first_per_pass;
-    auto const latest = ms_of( demand.latency_objective ) * first_of_objective;
-    option.joins = 1 + std::floor( ( latest - option.first_ms ) /
-                                   std::max( own_read_ms, least_join_ms ) );
+    option.first_event_ms =
+        target->backlog_ms( now ) * first_event_per_backlog + own_prefill_ms +
+        pass_ms( speed, *target ) * first_event_per_pass;
+    auto const max_first_event_ms =
+        ms_of( demand.latency_objective ) * max_first_event_per_objective;
+    option.max_joining =
+        1 + std::floor( ( max_first_event_ms - option.first_event_ms ) /
+                        std::max( own_prefill_ms, min_join_prefill_ms ) );
     return option;
 }
 
-auto room_of( target_entry const& t, std::int64_t most ) -> double
+/// Requests that `t` may still get until it has `max_requests`.
+auto capacity_of( target_entry const& t, std::int64_t max_requests ) -> double
 {
-    return static_cast<double>( most - t.load.requests );
+    return static_cast<double>( max_requests - t.load.requests );
 }
 
-/// Those of `options` whose first event comes about as soon as the soonest.
-auto soonest_of( std::vector<short_option> options )
+/// The options with the earliest predicted first event, or an equal one.
+auto earliest_of( std::vector<short_option> options )
     -> std::vector<short_option>
 {
-    auto soonest = std::numeric_limits<double>::infinity();
+    auto earliest_ms = std::numeric_limits<double>::infinity();
     for ( auto const& o : options )
-        soonest = std::min( soonest, o.first_ms );
+        earliest_ms = std::min( earliest_ms, o.first_event_ms );
     std::erase_if( options,
-                   [soonest]( auto const& o )
+                   [earliest_ms]( auto const& o )
                    {
-                       return o.first_ms > soonest + equally_soon_ms;
+                       return o.first_event_ms >
+                              earliest_ms + equal_first_event_ms;
                    } );
     return options;
 }
 
-/// False for what the request is not to be sent to.
-auto is_left( placement_demand const& demand, target_entry const& target )
+/// False if the request must not be sent to `target` now: it accepts no work,
+/// was tried before, or is paused.
+auto is_eligible( placement_demand const& demand, target_entry const& target )
     -> bool
 {
     return target.takes_work() &&
@@ -135,15 +142,17 @@
            !contains( demand.paused, target.properties.id );
 }
 
-/// True where a limit leaves room for as many requests as the target serves at
-/// once: its slots bind before the limit does, as those of others.
+/// True if the target's limit allows as many requests now as the target has
+/// slots. Then its slots run out before its limit does, as at targets without a
+/// limit.
 auto has_ample_limit( target_entry const& target, core::instant now ) -> bool
 {
     auto const limit = target.limit.per_second();
-    auto const in_window =
+    auto const allowed_in_window =
         limit.value_or( 0 ) * core::seconds_of( sent_times::window );
     auto const sent = static_cast<double>( target.limit.sent_in_window( now ) );
-    return in_window - sent >= static_cast<double>( target.properties.slots );
+    return allowed_in_window - sent >=
+           static_cast<double>( target.properties.slots );
 }
 
 auto basis_of( std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -156,8 +165,8 @@
     return basis;
 }
 
-/// The option on which `draw` falls, each as likely as it has room.
-auto drawn_from( std::vector<short_option> const& options, double draw )
+/// The option selected by `draw`, with probabilities proportional to capacity.
+auto draw_from( std::vector<short_option> const& options, double draw )
     -> short_option const&
 {
     auto total = 0.0;
@@ -179,7 +188,7 @@
     -> bool
 {
     return prefill_ms( speed, demand.prompt_tokens ) >
-           ms_of( demand.min_gap_objective ) * long_part_of_gap;
+           ms_of( demand.min_gap_objective ) * long_prefill_per_gap;
 }
 
 placement::placement( load_table const& loads,
@@ -194,17 +203,17 @@
     auto found = target_options{};
     for ( auto const& t : load_table_.of_service( demand.service ) )
     {
-        if ( !is_left( demand, *t ) )
+        if ( !is_eligible( demand, *t ) )
             continue;
         if ( !load_table_.may_send( *t, demand.limits, now ) )
-            found.more = true;
+            found.limited_later = true;
         else if ( !t->may_get_work( now ) )
             found.ejected.push_back( t );
         else if ( t->limit.per_second() && ( demand.only_to_probe_limits ||
                                              !has_ample_limit( *t, now ) ) )
             found.limited.push_back( t );
         else
-            found.free.push_back( t );
+            found.unlimited.push_back( t );
     }
     return found;
 }
@@ -215,10 +224,10 @@
     auto capacity = limited_capacity{ core::instant::max(), 0 };
     for ( auto const& t : load_table_.of_service( demand.service ) )
     {
-        if ( !t->limit.per_second() || !is_left( demand, *t ) )
+        if ( !t->limit.per_second() || !is_eligible( demand, *t ) )
             continue;
-        capacity.first =
-            std::min( capacity.first,
+        capacity.available_at =
+            std::min( capacity.available_at,
                       t->limit.next( demand.limits, load_table_.shares() ) );
         capacity.per_second +=
             t->limit.rate( demand.limits, load_table_.shares() );
@@ -226,14 +235,17 @@
     return capacity.per_second > 0 ? std::optional( capacity ) : std::nullopt;
 }
 
-auto limited_capacity::behind( std::size_t ahead ) const -> core::instant
+auto limited_capacity::available_after( std::size_t requests_ahead ) const
+    -> core::instant
 {
-    return first +
-           core::duration_of( static_cast<double>( ahead ) / per_second );
+    return available_at +
+           core::duration_of( static_cast<double>( requests_ahead ) /
+                              per_second );
 }
 
-/// True where a target is left once pauses are over.
-auto placement::pauses_only( placement_demand const& demand ) const -> bool
+/// True if a target remains after the end of its pause.
+auto placement::has_paused_target( placement_demand const& demand ) const
+    -> bool
 {
     return std::any_of( demand.paused.begin(), demand.paused.end(),
                         [&]( auto const& id )
@@ -251,14 +263,14 @@
     auto const found = options( demand, now );
     auto result = choose_limit_probe( found, demand, service, now );
     if ( !result.choice )
-        result = choose_in_turn( found, demand, service, now );
+        result = choose_by_preference( found, demand, service, now );
     if ( result.choice )
         result.choice->basis = basis_of( result.choice->targets, now );
     return result;
 }
 
-/// A limited target that has got nothing for long, for a request that it serves
-/// alone: its answer tells whether it still needs its limit.
+/// Sends a small request to a limited target that has got none for a long time:
+/// its answer tells whether the limit still holds.
 auto placement::choose_limit_probe( target_options const& options,
                                     placement_demand const& demand,
                                     service_settings const& service,
@@ -267,7 +279,7 @@
 {
     auto const is_small = !service.engine || demand.prompt_tokens == 0 ||
                           !is_long_prompt( *service.engine, demand );
-    if ( options.free.empty() || !is_small || demand.crashes > 0 )
+    if ( options.unlimited.empty() || !is_small || demand.crashes > 0 )
         return not_placed( placement_obstacle::full );
     for ( auto const& t : options.limited )
         if ( t->limit.is_limit_stale( now ) )
@@ -275,22 +287,24 @@
     return not_placed( placement_obstacle::full );
 }
 
-/// A limit is room: targets without one come first, those that have room by
-/// theirs next. Where all are shunned the belief is worth less than a try.
-auto placement::choose_in_turn( target_options const& options,
-                                placement_demand const& demand,
-                                service_settings const& service,
-                                core::instant now ) const -> placement_result
+/// Prefers targets without a limit, then adds those whose limits allow a
+/// request now. If only ejected targets remain, one of them is tried, as it may
+/// have recovered.
+auto placement::choose_by_preference( target_options const& options,
+                                      placement_demand const& demand,
+                                      service_settings const& service,
+                                      core::instant now ) const
+    -> placement_result
 {
     auto result = not_placed( placement_obstacle::no_targets );
-    if ( !options.free.empty() )
-        result = choose_from( options.free, demand, service, now );
+    if ( !options.unlimited.empty() )
+        result = choose_from( options.unlimited, demand, service, now );
     else if ( demand.only_to_probe_limits && options.has_limited() )
         return not_placed( placement_obstacle::limited );
     if ( !result.choice && !demand.only_to_probe_limits &&
          !options.limited.empty() )
     {
-        auto all = options.free;
+        auto all = options.unlimited;
         all.insert( all.end(), options.limited.begin(), options.limited.end() );
         result = choose_from( all, demand, service, now );
     }
@@ -298,10 +312,11 @@
         return result;
     if ( !options.ejected.empty() )
         return choose_from( options.ejected, demand, service, now );
-    if ( options.more )
+    if ( options.limited_later )
         return not_placed( placement_obstacle::limited );
-    return not_placed( pauses_only( demand ) ? placement_obstacle::paused
-                                             : placement_obstacle::no_targets );
+    return not_placed( has_paused_target( demand )
+                           ? placement_obstacle::paused
+                           : placement_obstacle::no_targets );
 }
 
 auto placement::choose_from( candidates const& targets,
@@ -309,64 +324,67 @@
                              service_settings const& service,
                              core::instant now ) const -> placement_result
 {
-    return demand.crashes > 0 ? choose_apart( targets, demand, service, now )
-                              : choose_among( targets, demand, service, now );
+    return demand.crashes > 0
+               ? choose_isolated( targets, demand, service, now )
+               : choose_by_prompt( targets, demand, service, now );
 }
 
-/// For a content under suspicion. Of all that broke off when a target ended one
-/// may end the next one too: two that run at the same target could not be told
-/// apart when that ends, so that each gets its own where there are enough. One
-/// that has met two ends goes where the least runs beside it.
-auto placement::choose_apart( candidates const& targets,
-                              placement_demand const& demand,
-                              service_settings const& service,
-                              core::instant now ) const -> placement_result
+/// For a suspect content, which ran at a target when that ended and may end the
+/// next one too. If two suspects run at the same target when it ends, either
+/// may have ended it, so each gets a target without suspects if there is one. A
+/// content that was present at two or more ends goes to such a target with the
+/// fewest requests.
+auto placement::choose_isolated( candidates const& targets,
+                                 placement_demand const& demand,
+                                 service_settings const& service,
+                                 core::instant now ) const -> placement_result
 {
-    auto apart = candidates{};
-    std::copy_if( targets.begin(), targets.end(), std::back_inserter( apart ),
+    auto isolated = candidates{};
+    std::copy_if( targets.begin(), targets.end(),
+                  std::back_inserter( isolated ),
                   []( auto const& t )
                   {
                       return t->load.suspects == 0;
                   } );
-    if ( demand.crashes > 1 && !apart.empty() )
-        apart = { *std::min_element( apart.begin(), apart.end(),
-                                     []( auto const& a, auto const& b )
-                                     {
-                                         return a->load.requests <
-                                                b->load.requests;
-                                     } ) };
-    if ( !apart.empty() )
+    if ( demand.crashes > 1 && !isolated.empty() )
+        isolated = { *std::min_element( isolated.begin(), isolated.end(),
+                                        []( auto const& a, auto const& b )
+                                        {
+                                            return a->load.requests <
+                                                   b->load.requests;
+                                        } ) };
+    if ( !isolated.empty() )
     {
-        auto result = choose_among( apart, demand, service, now );
+        auto result = choose_by_prompt( isolated, demand, service, now );
         if ( result.choice )
             return result;
     }
-    return choose_among( targets, demand, service, now );
+    return choose_by_prompt( targets, demand, service, now );
 }
 
-auto placement::choose_among( candidates const& targets,
-                              placement_demand const& demand,
-                              service_settings const& service,
-                              core::instant now ) const -> placement_result
+auto placement::choose_by_prompt( candidates const& targets,
+                                  placement_demand const& demand,
+                                  service_settings const& service,
+                                  core::instant now ) const -> placement_result
 {
     if ( !service.engine || demand.prompt_tokens == 0 )
         return choose_plain( targets, now );
     auto const& speed = *service.engine;
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
-    auto const most = usable_memory( speed );
-    if ( memory > most )
+    auto const max_memory = usable_memory( speed );
+    if ( memory > max_memory )
         return choose_reserved( demand, speed, targets, now );
     if ( is_long_prompt( speed, demand ) )
     {
-        auto const has_room =
+        auto const fits_one_engine =
             std::any_of( targets.begin(), targets.end(),
                          [&]( auto const& t )
                          {
                              return free_memory( speed, *t ) >= memory;
                          } );
-        return has_room ? choose_long( demand, speed, targets, now )
-                        : choose_reserved( demand, speed, targets, now );
+        return fits_one_engine ? choose_long( demand, speed, targets, now )
+                               : choose_reserved( demand, speed, targets, now );
     }
     return choose_short( demand, speed, targets, now );
 }
@@ -374,7 +392,7 @@
 auto placement::choose_plain( candidates const& targets,
                               core::instant now ) const -> placement_result
 {
-    constexpr auto reported_load_is_fresh = core::duration( 100'000 );
+    constexpr auto max_reported_load_age = core::duration( 100'000 );
     auto best = std::shared_ptr<target_entry>{};
     auto best_load = std::numeric_limits<double>::infinity();
     for ( auto const& t : targets )
@@ -382,13 +400,13 @@
         auto const slots = static_cast<double>(
             std::max<std::int64_t>( 1, t->properties.slots ) );
         auto busy = static_cast<double>( t->load.requests );
-        if ( t->reported && now - t->reported_at < reported_load_is_fresh )
+        if ( t->reported && now - t->reported_at < max_reported_load_age )
             busy =
                 std::max( busy, static_cast<double>( t->reported->running +
                                                      t->reported->waiting ) );
         auto load = busy / slots;
         if ( t->properties.data_centre != own_data_centre_ )
-            load += far_place_load;
+            load += remote_load_penalty;
         if ( load < best_load )
         {
             best = t;
@@ -407,16 +425,17 @@
                               candidates const& targets,
                               core::instant now ) const -> placement_result
 {
-    auto const own_read = prefill_ms( speed, demand.prompt_tokens );
+    auto const own_prefill = prefill_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
-    auto const longest_pass = ms_of( demand.gap_objective ) * short_pass_of_gap;
-    auto const packed = static_cast<std::int64_t>(
-        std::ceil( static_cast<double>( speed.slots ) * packed_share ) );
-    auto const window = std::max(
-        least_spread, load_table_.arrivals_per_second( demand.service, now ) *
-                          unseen_seconds );
-    auto const pressing = long_prompts_dominate( demand, targets, now );
+    auto const max_pass_ms = ms_of( demand.gap_objective ) * max_pass_per_gap;
+    auto const packed_slots = static_cast<std::int64_t>(
+        std::ceil( static_cast<double>( speed.slots ) * packed_slot_share ) );
+    auto const spread = std::max(
+        min_spread, load_table_.arrivals_per_second( demand.service, now ) *
+                        spread_window_seconds );
+    auto const long_prompts_first =
+        long_prompts_dominate( demand, targets, now );
     auto preferred = std::vector<short_option>{};
     auto others = std::vector<short_option>{};
     auto capacity = 0.0;
@@ -424,35 +443,37 @@
     {
         if ( !has_free_slot( speed, *t ) || free_memory( speed, *t ) < memory )
             continue;
-        auto option = option_for( demand, speed, t, own_read, now );
+        auto option = option_for( demand, speed, t, own_prefill, now );
         auto const pass =
-            t->backlog_ms( now ) + own_read + pass_ms( speed, *t );
-        if ( t->load.requests < packed && pass < longest_pass &&
-             ( pressing || option.joins >= 1 ) )
+            t->backlog_ms( now ) + own_prefill + pass_ms( speed, *t );
+        if ( t->load.requests < packed_slots && pass < max_pass_ms &&
+             ( long_prompts_first || option.max_joining >= 1 ) )
         {
-            auto const most = pressing ? window - capacity : option.joins;
-            option.capacity = std::min( room_of( *t, packed ), most );
+            auto const max_here =
+                long_prompts_first ? spread - capacity : option.max_joining;
+            option.capacity =
+                std::min( capacity_of( *t, packed_slots ), max_here );
             capacity += option.capacity;
             preferred.push_back( std::move( option ) );
-            if ( capacity >= window )
+            if ( capacity >= spread )
                 break;
         }
         else
         {
-            option.capacity = room_of( *t, speed.slots );
+            option.capacity = capacity_of( *t, speed.slots );
             others.push_back( std::move( option ) );
         }
     }
     if ( preferred.empty() )
-        preferred = soonest_of( std::move( others ) );
+        preferred = earliest_of( std::move( others ) );
     if ( preferred.empty() )
         return not_placed( placement_obstacle::full );
-    auto const& best = drawn_from( preferred, demand.draw );
+    auto const& best = draw_from( preferred, demand.draw );
     auto choice = placement_choice{};
     choice.targets.push_back( best.target );
-    choice.parts.push_back( { best.target->properties.id, own_read, memory,
+    choice.parts.push_back( { best.target->properties.id, own_prefill, memory,
                               best.target->properties.lifetime } );
-    choice.first_event_ms = best.first_ms;
+    choice.first_event_ms = best.first_event_ms;
     return { choice, placement_obstacle::full };
 }
 
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -14,7 +14,8 @@
 namespace pollenstream::exchange
 {
 
-/// What the choice of targets depends on.
+/// The properties of a request, and of what waits, on which its placement
+/// depends.
 struct placement_demand
 {
     core::service_id service;
@@ -22,59 +23,60 @@
     std::int64_t output_tokens{ 0 };
     core::duration latency_objective{ 0 };
     core::duration gap_objective{ 0 };
-    core::duration min_gap_objective{ 0 }; ///< of all routes of the service
-    core::duration waited{ 0 };            ///< since the request came
+    core::duration min_gap_objective{ 0 }; ///< over all routes of the service
+    core::duration waited{ 0 };            ///< since the request arrived
     core::duration time_left{ 0 };
-    core::duration patience_left{ 0 };  ///< until the caller leaves
-    std::vector<core::target_id> tried; ///< not to be chosen again
-    /// Targets that want nothing from the asker now.
+    core::duration patience_left{ 0 };  ///< until the caller gives up
+    std::vector<core::target_id> tried; ///< must not be chosen again
+    /// Targets that accept nothing from the requester now.
     std::vector<core::target_id> paused;
-    /// What may be spent of the limits that targets name.
+    /// Which part of the limits that targets report may be used.
     limit_use limits{ limit_use::for_all };
-    /// Targets with limits are chosen only to hear whether these still hold;
-    /// else they are to be asked for.
+    /// Targets with limits may be chosen only to probe whether their limits
+    /// still hold; for anything else the coordinator has to be asked.
     bool only_to_probe_limits{ false };
-    /// Targets that may have ended by runs of the same content.
+    /// Number of targets that ended while they ran the same content, and may
+    /// have ended because of it.
     std::size_t crashes{ 0 };
-    /// No other wide prompt waits.
+    /// No other split prompt waits.
     bool is_only_split_prompt{ false };
-    /// Another wide prompt that can still be in time waits.
+    /// Another split prompt waits that can still be in time.
     bool others_in_time{ false };
-    /// Uniform in 0 to 1, to draw among targets that are equally good.
+    /// Random number from 0 to 1 that selects among equally good targets.
     double draw{ 0 };
 };
 
-/// What was known of the targets of a choice when it was made.
+/// What was known of the chosen targets at the time of the choice.
 struct choice_basis
 {
     std::int64_t requests{ 0 };   ///< that the first target answers
-    std::int64_t prefilling{ 0 }; ///< parts of prompts that it reads
-    double backlog_ms{ 0 };       ///< most that one of the targets has to read
-    /// For how long the request has waited for a target's limit.
+    std::int64_t prefilling{ 0 }; ///< parts that the first target prefills
+    double backlog_ms{ 0 };       ///< largest one of the chosen targets
+    /// Time that the request waited for capacity under targets' limits.
     std::int64_t limit_wait_ms{ 0 };
 };
 
-/// Where a request goes. The first part's target answers; the others read
+/// The targets of a request. The first one answers; the others only prefill
 /// parts of the prompt.
 struct placement_choice
 {
     std::vector<std::shared_ptr<target_entry>> targets;
     std::vector<work_part> parts; ///< one for each target
     double first_event_ms{ 0 };   ///< predicted, from now
-    /// The parts' memory has to be reserved first: no target holds the whole
-    /// prompt.
+    /// Memory has to be reserved at all targets before the request is sent, as
+    /// none of them can hold the whole prompt.
     bool needs_reservation{ false };
     choice_basis basis;
 };
 
-/// Why nothing was chosen.
+/// Why no target was chosen.
 enum class placement_obstacle
 {
-    no_targets, ///< none that may get work
-    full,       ///< none has room now
-    too_large,  ///< all memory together does not hold it
-    paused,     ///< all that are left want nothing from the asker now
-    limited,    ///< all that are left have got as much as they take
+    no_targets, ///< no target accepts work
+    full,       ///< no target has capacity now
+    too_large,  ///< exceeds the memory of all targets together
+    paused,     ///< all remaining targets are paused for the requester
+    limited,    ///< all remaining targets have reached their limits
 };
 
 struct placement_result
@@ -85,63 +87,67 @@
 
 struct prefill_candidate;
 
-/// No choice, for `reason`.
+/// A result without a choice, with the reason.
 inline auto not_placed( placement_obstacle reason ) -> placement_result
 {
     return { std::nullopt, reason };
 }
 
-/// Targets that are left for a request, by what speaks against them.
+/// The remaining targets of a request, grouped by what limits their use.
 struct target_options
 {
     using list = std::vector<std::shared_ptr<target_entry>>;
 
-    list free;          ///< that name no limit
-    list limited;       ///< that do, and have room for one request now
-    list ejected;       ///< with room too, and believed to fail
-    bool more{ false }; ///< others have room later, by their limits
+    list unlimited; ///< no limit, or one that binds later than the slots
+    list limited;   ///< their limits allow a request now
+    list ejected;   ///< considered failing; their limits allow a request now
+    /// Further targets have capacity later, according to their limits.
+    bool limited_later{ false };
 
     [[nodiscard]] auto has_limited() const -> bool
     {
-        return more || !limited.empty();
+        return limited_later || !limited.empty();
     }
 };
 
-/// When the targets that are left have room by their limits, and how fast.
+/// When the remaining targets have capacity under their limits, and at which
+/// rate.
 struct limited_capacity
 {
-    core::instant first; ///< for one request
+    core::instant available_at; ///< capacity for one request
     double per_second{ 0 };
 
-    /// When there is room for one behind `ahead` others.
-    [[nodiscard]] auto behind( std::size_t ahead ) const -> core::instant;
+    /// When there is capacity for a request behind `requests_ahead` others.
+    [[nodiscard]] auto available_after( std::size_t requests_ahead ) const
+        -> core::instant;
 };
 
-/// Chooses targets on the board; decides nothing about refusing.
+/// Chooses targets from the load table. Whether a request without a choice
+/// waits or is refused is decided by the caller.
 class placement
 {
 public:
     placement( load_table const& loads, core::data_centre_id own_data_centre );
 
-    /// The targets for `demand` among those that may get work now.
+    /// Chooses targets for `demand` among those that accept work now.
     [[nodiscard]] auto choose( placement_demand const& demand,
                                service_settings const& service,
                                core::instant now ) const -> placement_result;
 
-    /// Room by the limits of the targets that are left for `demand`; nothing
-    /// where none of them names one.
+    /// Capacity under the limits of the targets that remain for `demand`;
+    /// nullopt if none of them allows any requests by a limit.
     [[nodiscard]] auto
     capacity_by_limits( placement_demand const& demand ) const
         -> std::optional<limited_capacity>;
 
-    /// True where the prompt cannot have its first event in time any more, even
+    /// True if the prompt cannot have its first event in time any more, even
     /// with as many engines as one prompt may take.
     [[nodiscard]] auto is_too_late( placement_demand const& demand,
                                     service_settings const& service ) const
         -> bool;
 
-    /// Shortest time in which the prompt can be read if it gets as many engines
-    /// as one prompt may take.
+    /// Prefill time of the prompt if it gets as many engines as one prompt may
+    /// take.
     [[nodiscard]] auto shortest_prefill( placement_demand const& demand,
                                          service_settings const& service ) const
         -> core::duration;
@@ -149,10 +155,10 @@
 private:
     using candidates = std::vector<std::shared_ptr<target_entry>>;
 
-    [[nodiscard]] auto choose_among( candidates const& targets,
-                                     placement_demand const& demand,
-                                     service_settings const& service,
-                                     core::instant now ) const
+    [[nodiscard]] auto choose_by_prompt( candidates const& targets,
+                                         placement_demand const& demand,
+                                         service_settings const& service,
+                                         core::instant now ) const
         -> placement_result;
     [[nodiscard]] auto options( placement_demand const& demand,
                                 core::instant now ) const -> target_options;
@@ -161,22 +167,22 @@
                                            service_settings const& service,
                                            core::instant now ) const
         -> placement_result;
-    [[nodiscard]] auto choose_in_turn( target_options const& options,
-                                       placement_demand const& demand,
-                                       service_settings const& service,
-                                       core::instant now ) const
+    [[nodiscard]] auto choose_by_preference( target_options const& options,
+                                             placement_demand const& demand,
+                                             service_settings const& service,
+                                             core::instant now ) const
         -> placement_result;
     [[nodiscard]] auto choose_from( candidates const& targets,
                                     placement_demand const& demand,
                                     service_settings const& service,
                                     core::instant now ) const
         -> placement_result;
-    [[nodiscard]] auto pauses_only( placement_demand const& demand ) const
+    [[nodiscard]] auto has_paused_target( placement_demand const& demand ) const
         -> bool;
-    [[nodiscard]] auto choose_apart( candidates const& targets,
-                                     placement_demand const& demand,
-                                     service_settings const& service,
-                                     core::instant now ) const
+    [[nodiscard]] auto choose_isolated( candidates const& targets,
+                                        placement_demand const& demand,
+                                        service_settings const& service,
+                                        core::instant now ) const
         -> placement_result;
     [[nodiscard]] auto choose_plain( candidates const& targets,
                                      core::instant now ) const
@@ -208,12 +214,13 @@
     core::data_centre_id own_data_centre_;
 };
 
-/// True where reading the prompt beside the writers with the shortest pauses
-/// would make their answers late, so that it belongs on other engines.
+/// True if the prefill of the prompt would delay decoding requests with the
+/// shortest pause objective too much, so that it belongs on other engines.
 auto is_long_prompt( engine_speed const& speed, placement_demand const& demand )
     -> bool;
 
-/// True where a prompt is read by several engines at once, if they are free.
+/// True if the prefill of the prompt is split over several engines when these
+/// are free.
 auto is_split_prompt( engine_speed const& speed,
                       placement_demand const& demand ) -> bool;
 
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -213,7 +213,7 @@
     if ( !capacity || !request.may_be_refused )
         return false;
     auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
-    if ( capacity->behind( ahead ) <= latest )
+    if ( capacity->available_after( ahead ) <= latest )
         return false;
     owner_.counters_.limited.add();
     return refuse( limited_reason, owner_.time_to_return( *this, *capacity ) );
@@ -363,8 +363,8 @@
     auto const now = scheduler_.now();
     auto& last = returns_[demand.service];
     auto const next = last + core::duration_of( 1 / capacity.per_second );
-    auto const at =
-        std::max( { now, capacity.behind( others_waiting( who ) ), next } );
+    auto const at = std::max(
+        { now, capacity.available_after( others_waiting( who ) ), next } );
     if ( at - now < demand.time_left )
         last = at;
     return std::max( at - now, shortest_return );
--- a/src/pollenstream/exchange/placement_lateness.cpp
+++ b/src/pollenstream/exchange/placement_lateness.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 
-// How soon a prompt can be read at best, which decides whether it is too late
-// for it, and when its caller may come back.
+// The shortest possible prefill of a prompt. It decides whether the prompt can
+// still be in time, and when a refused caller should retry.
 
 namespace pollenstream::exchange
 {
@@ -13,19 +13,19 @@
 namespace
 {
 
-/// Share of the engines that one prompt can count on: the others read for those
-/// that are there already.
-constexpr auto countable_share = 0.7;
+/// Share of the engines that one prompt can expect to get. The others are busy
+/// with the prefill of prompts placed before.
+constexpr auto available_engine_share = 0.7;
 
-/// Milliseconds in which the prompt is read by as many of `engines` engines as
-/// it can count on.
-auto shortest_ms( placement_demand const& demand,
-                  engine_speed const& speed,
-                  std::size_t engines ) -> double
+/// Milliseconds that the prefill takes on as many of `engines` engines as the
+/// prompt can expect to get.
+auto shortest_prefill_ms( placement_demand const& demand,
+                          engine_speed const& speed,
+                          std::size_t engines ) -> double
 {
-    auto const countable = static_cast<std::size_t>(
-        static_cast<double>( engines ) * countable_share );
-    auto const parts = std::clamp( countable, std::size_t{ 1 }, max_helpers );
+    auto const available = static_cast<std::size_t>(
+        static_cast<double>( engines ) * available_engine_share );
+    auto const parts = std::clamp( available, std::size_t{ 1 }, max_helpers );
     return prefill_ms( speed, demand.prompt_tokens ) /
            static_cast<double>( parts );
 }
@@ -37,8 +37,8 @@
     -> core::duration
 {
     auto const engines = load_table_.of_service( demand.service ).size();
-    return core::duration_of( shortest_ms( demand, *service.engine, engines ) /
-                              1'000 );
+    return core::duration_of(
+        shortest_prefill_ms( demand, *service.engine, engines ) / 1'000 );
 }
 
 auto placement::is_too_late( placement_demand const& demand,
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -10,32 +10,34 @@
 namespace
 {
 
-/// Longest time in ms that one part of a long prompt should take; shorter
-/// parts gain little beside a pass of writing.
-constexpr auto part_goal_ms = 180.0;
-/// Prompts that make this many parts or more take turns: those below mostly go
-/// to one engine.
-constexpr auto split_parts = 3.0;
-/// Longest part of a long prompt, in parts of its own pause objective: who
-/// joins the engine meanwhile as a rule comes from such a route.
-constexpr auto part_of_own_gap = 0.55;
-/// Longest part of a prompt that is larger than one engine, in parts of its
-/// latency objective.
-constexpr auto part_of_objective = 0.8;
-/// The writer of a long answer is drawn among one of so many engines, if these
-/// delayed_weight equally little, so that a large fleet's long answers do not
-/// all wait for one. Spread over three of 14, answers that tolerate 600 ms kept
-/// five engines from reading larger parts.
-constexpr auto engines_per_writer = std::size_t{ 15 };
-/// How much sooner in ms a division into one more part has to end: each part
-/// costs its engine a pass. Where all engines are busy a prompt in many parts
-/// keeps others from starting, and finds engines that are free at one moment
-/// the more rarely.
+/// Prompts are divided until their parts are shorter than this. Even shorter
+/// parts gain little, as each of them also costs a decode pass.
+constexpr auto preferred_part_ms = 180.0;
+/// A prompt whose prefill makes more than this many preferred parts is a split
+/// prompt. Smaller ones mostly go to one engine.
+constexpr auto min_split_parts = 3.0;
+/// Longest part of a long prompt, as a share of its own pause objective: other
+/// requests that join the engine meanwhile usually have a similar objective.
+constexpr auto max_part_per_gap = 0.55;
+/// Longest part of a prompt that exceeds the memory of one engine, as a share
+/// of its latency objective.
+constexpr auto max_part_per_objective = 0.8;
+/// The decode target of a long prompt is drawn from one in this many engines,
+/// if they are equally good, so that in a large fleet long answers do not all
+/// wait for the same engine. With more decode targets, fewer engines can
+/// prefill long parts: answers that tolerate pauses of 600 ms, spread over
+/// three of 14 engines, keep five from it.
+constexpr auto engines_per_decode_target = std::size_t{ 15 };
+/// How much sooner in ms the prefill has to end for each additional part, if no
+/// engine is busy and if all are. Each part costs its engine a pass. If most
+/// engines are busy, a prompt in many parts also keeps others from starting,
+/// and it seldom finds that many engines free at the same time.
 constexpr auto idle_part_cost_ms = 15.0;
 constexpr auto busy_part_cost_ms = 135.0;
-/// Answers that an engine writes from which it counts as busy.
-constexpr auto busy_requests = std::int64_t{ 5 };
+/// An engine with this many requests counts as busy even without a backlog.
+constexpr auto min_busy_requests = std::int64_t{ 5 };
 
+/// The cost of an additional part, interpolated by the share of busy engines.
 auto part_cost( std::vector<std::shared_ptr<target_entry>> const& targets,
                 core::instant now ) -> double
 {
@@ -44,15 +46,15 @@
                        [now]( auto const& t )
                        {
                            return t->backlog_ms( now ) > 0 ||
-                                  t->load.requests >= busy_requests;
+                                  t->load.requests >= min_busy_requests;
                        } );
     return idle_part_cost_ms + ( busy_part_cost_ms - idle_part_cost_ms ) *
                                    static_cast<double>( busy ) /
                                    static_cast<double>( targets.size() );
 }
 
-/// What placing a prompt of `total_ms` of reading in at most `max_parts` of
-/// the engines may cost others.
+/// The limits for dividing a prompt with a prefill of `total_ms` into at most
+/// `max_parts`.
 auto limits_of_division(
     placement_demand const& demand,
     std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -90,7 +92,7 @@
                       placement_demand const& demand ) -> bool
 {
     return prefill_ms( speed, demand.prompt_tokens ) >
-           part_goal_ms * split_parts;
+           preferred_part_ms * min_split_parts;
 }
 
 auto placement::choose_long( placement_demand const& demand,
@@ -104,31 +106,32 @@
     auto const max_parts = std::min( targets.size(), max_helpers + 1 );
     auto const limits =
         limits_of_division( demand, targets, max_parts, total, now );
-    // The longer a request waits, the fewer engines it makes do with.
-    auto const most_part = ms_of( demand.gap_objective ) * part_of_own_gap *
-                           ( 1 + core::seconds_of( demand.waited ) );
+    // The longer a request has waited, the longer its parts may be, so that
+    // fewer engines suffice.
+    auto const max_part_ms = ms_of( demand.gap_objective ) * max_part_per_gap *
+                             ( 1 + core::seconds_of( demand.waited ) );
     auto best = std::optional<division>{};
     for ( auto parts = std::size_t{ 1 }; parts <= max_parts; ++parts )
     {
         auto const part_ms = total / static_cast<double>( parts );
-        if ( part_ms > most_part )
+        if ( part_ms > max_part_ms )
             continue;
-        auto const writer = choose_decode_target( speed, targets, memory,
-                                                  part_ms, demand.draw, now );
-        if ( !writer )
+        auto const decode_target = choose_decode_target(
+            speed, targets, memory, part_ms, demand.draw, now );
+        if ( !decode_target )
             break;
         auto engines = prefill_candidates_of( speed, targets, part_ms, 0, now );
         std::erase_if( engines,
                        [&]( auto const& r )
                        {
-                           return r.target == writer->target;
+                           return r.target == decode_target->target;
                        } );
         if ( engines.size() + 1 < parts )
             break;
         engines.resize( parts - 1 );
-        engines.insert( engines.begin(), *writer );
+        engines.insert( engines.begin(), *decode_target );
         keep_if_better( best, std::move( engines ), part_ms, limits );
-        if ( part_ms < part_goal_ms )
+        if ( part_ms < preferred_part_ms )
             break;
     }
     if ( !best )
@@ -138,8 +141,9 @@
     return { std::move( choice ), placement_obstacle::full };
 }
 
-/// The engine that holds a long prompt's memory and writes its answer: one
-/// that writes such answers already, so that others stay free to read.
+/// Chooses the engine that holds the KV memory of a long prompt and decodes its
+/// answer. Engines that already decode such answers are preferred, so that the
+/// others stay free for prefill.
 auto placement::choose_decode_target( engine_speed const& speed,
                                       candidates const& targets,
                                       std::int64_t memory,
@@ -159,11 +163,12 @@
     if ( fitting.empty() )
         return std::nullopt;
     std::stable_sort( fitting.begin(), fitting.end(), is_better_decode_target );
-    auto const most = std::min(
-        fitting.size(),
-        std::max( std::size_t{ 1 }, targets.size() / engines_per_writer ) );
+    auto const max_equal =
+        std::min( fitting.size(),
+                  std::max( std::size_t{ 1 },
+                            targets.size() / engines_per_decode_target ) );
     auto equal = std::size_t{ 1 };
-    while ( equal < most &&
+    while ( equal < max_equal &&
             fitting[equal].delayed_weight == fitting[0].delayed_weight &&
             fitting[equal].interactive_weight == fitting[0].interactive_weight )
         ++equal;
@@ -180,23 +185,23 @@
     auto const total = prefill_ms( speed, demand.prompt_tokens );
     auto const memory =
         memory_need( demand.prompt_tokens, demand.output_tokens );
-    auto const most = usable_memory( speed );
+    auto const max_memory = usable_memory( speed );
     auto const service_targets =
         load_table_.of_service( demand.service ).size();
-    if ( memory > most * static_cast<std::int64_t>(
-                             std::min( service_targets, max_helpers ) ) )
+    if ( memory > max_memory * static_cast<std::int64_t>(
+                                   std::min( service_targets, max_helpers ) ) )
         return not_placed( placement_obstacle::too_large );
     auto const max_parts = std::min( targets.size(), max_helpers );
     auto const limits =
         limits_of_division( demand, targets, max_parts, total, now );
-    auto const most_part =
-        std::max( ms_of( demand.latency_objective ) * part_of_objective,
+    auto const max_part_ms =
+        std::max( ms_of( demand.latency_objective ) * max_part_per_objective,
                   total / static_cast<double>( max_parts ) );
     auto best = std::optional<division>{};
     for ( auto parts = std::size_t{ 2 }; parts <= max_parts; ++parts )
     {
         auto const part_ms = total / static_cast<double>( parts );
-        if ( part_ms > most_part )
+        if ( part_ms > max_part_ms )
             continue;
         auto engines = prefill_candidates_of(
             speed, targets, part_ms, part_memory( memory, parts ), now );
@@ -206,7 +211,7 @@
         if ( !has_free_slot( speed, *engines.front().target ) )
             continue;
         keep_if_better( best, std::move( engines ), part_ms, limits );
-        if ( part_ms < part_goal_ms )
+        if ( part_ms < preferred_part_ms )
             break;
     }
     if ( !best )
