--- a/tests/support/played_engines.cpp
+++ b/tests/support/simulated_engines.cpp
@@ -1,4 +1,4 @@
-#include "support/played_engines.hpp"
+#include "support/simulated_engines.hpp"
 
 #include <pollenstream/exchange/engine_model.hpp>
 
@@ -15,9 +15,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto later_events = 15;
+constexpr auto events_after_first = 15;
 constexpr auto event_gap = core::duration( 50ms );
-constexpr auto callers_tries = 2;
+constexpr auto max_attempts_per_caller = 2;
 
 auto event_text( int id ) -> std::string
 {
@@ -36,10 +36,10 @@
     return text;
 }
 
-/// One answer under way; keeps itself alive through its timer's owner.
-class played_engines::answer
+/// One answer in progress. The callback of its timer keeps it alive.
+class simulated_engines::answer
     : public exchange::open_attempt,
-      public std::enable_shared_from_this<played_engines::answer>
+      public std::enable_shared_from_this<simulated_engines::answer>
 {
 public:
     answer( held_scheduler& scheduler,
@@ -53,10 +53,10 @@
     {
         return listener_ == nullptr;
     }
-    auto on_part_read() -> void
+    auto on_part_prefilled() -> void
     {
         if ( --parts_left_ == 0 )
-            next_event_in( event_gap );
+            schedule_event( event_gap );
     }
     auto cancel() -> void override
     {
@@ -67,17 +67,17 @@
     {
         return true;
     }
-    auto next_event_in( core::duration time ) -> void
+    auto schedule_event( core::duration time ) -> void
     {
         timer_ = scheduler_.call_after( time,
                                         [self = shared_from_this()]
                                         {
-                                            self->tell();
+                                            self->send_event();
                                         } );
     }
 
 private:
-    auto tell() -> void
+    auto send_event() -> void
     {
         auto const listener = listener_;
         if ( !listener )
@@ -90,8 +90,8 @@
             listener->on_head( std::move( head ) );
         }
         listener->on_body( event_text( ++events_ ) );
-        if ( events_ <= later_events )
-            return next_event_in( event_gap );
+        if ( events_ <= events_after_first )
+            return schedule_event( event_gap );
         auto end = exchange::attempt_end{};
         end.complete = true;
         end.sent = true;
@@ -105,7 +105,7 @@
     int events_{ 0 };
 };
 
-auto played_engines::send(
+auto simulated_engines::send(
     exchange::outgoing_request request,
     std::shared_ptr<exchange::attempt_listener> listener )
     -> std::shared_ptr<exchange::open_attempt>
@@ -114,28 +114,29 @@
     auto tokens = std::int64_t{ 0 };
     text >> tokens;
     sent.push_back( tokens );
-    auto readers =
+    auto addresses =
         std::vector<std::string>{ core::to_string( request.address ) };
     for ( auto helper = std::string{}; text >> helper; )
-        if ( helper != readers.front() )
-            readers.push_back( helper );
+        if ( helper != addresses.front() )
+            addresses.push_back( helper );
     auto const part_time =
         core::duration_of( exchange::prefill_ms( speed_, tokens ) /
-                           static_cast<double>( readers.size() ) / 1'000 );
+                           static_cast<double>( addresses.size() ) / 1'000 );
     auto const started = std::make_shared<answer>(
-        scheduler_, std::move( listener ), readers.size() );
-    for ( auto const& address : readers )
+        scheduler_, std::move( listener ), addresses.size() );
+    for ( auto const& address : addresses )
     {
-        auto& engine = readers_[address];
-        go_on( engine );
+        auto& engine = engines_[address];
+        advance( engine );
         engine.parts.push_back(
-            { started, part_time, address == readers.front() } );
-        go_on( engine );
+            { started, part_time, address == addresses.front() } );
+        advance( engine );
     }
     return started;
 }
 
-auto played_engines::current( reader& engine ) -> std::vector<part>::iterator
+auto simulated_engines::current_part( engine_state& engine )
+    -> std::vector<part>::iterator
 {
     auto const for_others =
         std::find_if( engine.parts.rbegin(), engine.parts.rend(),
@@ -147,58 +148,59 @@
                                              : std::prev( for_others.base() );
 }
 
-auto played_engines::go_on( reader& engine ) -> void
+auto simulated_engines::advance( engine_state& engine ) -> void
 {
     auto const now = scheduler_.now();
-    auto time = now - std::exchange( engine.read_up_to, now );
-    engine.next_end.reset();
+    auto time = now - std::exchange( engine.prefilled_until, now );
+    engine.next_part_end.reset();
     std::erase_if( engine.parts,
                    []( auto const& p )
                    {
-                       return p.of->is_cancelled();
+                       return p.pending_answer->is_cancelled();
                    } );
     while ( !engine.parts.empty() )
     {
-        auto const at = current( engine );
-        if ( at->left > time )
+        auto const at = current_part( engine );
+        if ( at->time_left > time )
         {
-            at->left -= time;
-            engine.next_end = scheduler_.call_after( at->left,
-                                                     [this, &engine]
-                                                     {
-                                                         go_on( engine );
-                                                     } );
+            at->time_left -= time;
+            engine.next_part_end = scheduler_.call_after( at->time_left,
+                                                          [this, &engine]
+                                                          {
+                                                              advance( engine );
+                                                          } );
             return;
         }
-        time -= at->left;
-        auto const done = at->of;
+        time -= at->time_left;
+        auto const finished = at->pending_answer;
         engine.parts.erase( at );
-        done->on_part_read();
+        finished->on_part_prefilled();
     }
 }
 
-/// A caller's side of one try.
-class played_load::caller_channel : public recorded_channel
+/// The caller's side of one attempt, which retries after a refusal.
+class simulated_load::caller_channel : public recorded_channel
 {
 public:
-    caller_channel( played_load& owner,
-                    std::shared_ptr<played_request> which,
+    caller_channel( simulated_load& owner,
+                    std::shared_ptr<simulated_request> record,
                     std::string route,
                     core::duration time_limit )
-        : owner_( owner ), which_( std::move( which ) ),
+        : owner_( owner ), record_( std::move( record ) ),
           route_( std::move( route ) ), time_limit_( time_limit ),
-          tried_at_( owner.fixture.scheduler.now() )
+          started_at_( owner.fixture.scheduler.now() )
     {
     }
     auto send_piece( std::string bytes ) -> void override
     {
-        if ( !which_->first )
-            which_->first = owner_.fixture.scheduler.now() - which_->came;
+        if ( !record_->first_event )
+            record_->first_event =
+                owner_.fixture.scheduler.now() - record_->arrived_at;
         recorded_channel::send_piece( std::move( bytes ) );
     }
     auto end_stream() -> void override
     {
-        which_->complete = true;
+        record_->complete = true;
         recorded_channel::end_stream();
     }
     auto send_whole( exchange::whole_answer answer ) -> void override
@@ -207,33 +209,34 @@
         if ( whole.status != 503 )
             return;
         auto const now = owner_.fixture.scheduler.now();
-        which_->refused_after =
-            std::max( which_->refused_after, now - tried_at_ );
-        auto const left = time_limit_ - ( now - tried_at_ );
-        auto const told = header( "Retry-After" );
+        record_->longest_refusal_wait =
+            std::max( record_->longest_refusal_wait, now - started_at_ );
+        auto const time_left = time_limit_ - ( now - started_at_ );
+        auto const retry_after = header( "Retry-After" );
         auto const pause = std::min(
-            core::duration_of( told.empty() ? 0.0 : std::stod( told ) ),
-            left / 3 );
-        if ( ++which_->refusals >= callers_tries )
+            core::duration_of( retry_after.empty() ? 0.0
+                                                   : std::stod( retry_after ) ),
+            time_left / 3 );
+        if ( ++record_->refusals >= max_attempts_per_caller )
             return;
-        owner_.calls_.push_back( owner_.fixture.scheduler.call_after(
+        owner_.timers_.push_back( owner_.fixture.scheduler.call_after(
             pause,
-            [&owner = owner_, which = which_, route = route_,
-             rest = left - pause]
+            [&owner = owner_, record = record_, route = route_,
+             remaining = time_left - pause]
             {
-                owner.begin( which, route, rest );
+                owner.start_request( record, route, remaining );
             } ) );
     }
 
 private:
-    played_load& owner_;
-    std::shared_ptr<played_request> which_;
+    simulated_load& owner_;
+    std::shared_ptr<simulated_request> record_;
     std::string route_;
     core::duration time_limit_;
-    core::instant tried_at_;
+    core::instant started_at_;
 };
 
-played_load::played_load( int engine_count, exchange::engine_speed speed )
+simulated_load::simulated_load( int engine_count, exchange::engine_speed speed )
     : engines( fixture.scheduler, speed ), context_{
                                                .scheduler = fixture.scheduler,
                                                .targets = engines,
@@ -275,39 +278,41 @@
     }
 }
 
-played_load::~played_load() = default;
+simulated_load::~simulated_load() = default;
 
-auto played_load::call( core::duration after,
-                        std::string const& route,
-                        std::int64_t tokens ) -> std::shared_ptr<played_request>
+auto simulated_load::schedule_request( core::duration after,
+                                       std::string const& route,
+                                       std::int64_t tokens )
+    -> std::shared_ptr<simulated_request>
 {
-    auto const which = std::make_shared<played_request>();
-    which->tokens = tokens;
-    calls_.push_back( fixture.scheduler.call_after(
+    auto const record = std::make_shared<simulated_request>();
+    record->tokens = tokens;
+    timers_.push_back( fixture.scheduler.call_after(
         after,
-        [this, which, route]
+        [this, record, route]
         {
-            which->came = fixture.scheduler.now();
+            record->arrived_at = fixture.scheduler.now();
             auto const limit = route == "audit" ? 15s : 10s;
-            begin( which, route, limit );
+            start_request( record, route, limit );
         } ) );
-    return which;
+    return record;
 }
 
-auto played_load::begin( std::shared_ptr<played_request> const& which,
-                         std::string const& route,
-                         core::duration time_limit ) -> void
+auto simulated_load::start_request(
+    std::shared_ptr<simulated_request> const& record,
+    std::string const& route,
+    core::duration time_limit ) -> void
 {
     auto request = fixture.request( "/" + route + "/x" );
-    request.prompt = exchange::prompt_properties{ which->tokens, 800, 0 };
+    request.prompt = exchange::prompt_properties{ record->tokens, 800, 0 };
     request.time_limit = time_limit;
     auto const started = std::make_shared<exchange::exchange>(
         context_, std::move( request ),
-        std::make_shared<caller_channel>( *this, which, route, time_limit ) );
+        std::make_shared<caller_channel>( *this, record, route, time_limit ) );
     started->start();
 }
 
-auto played_load::play( core::duration time ) -> void
+auto simulated_load::run( core::duration time ) -> void
 {
     fixture.scheduler.run( time );
 }
