--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -6,7 +6,8 @@
 using namespace tests;
 using namespace std::chrono_literals;
 
-TEST_CASE( "events are cut whole wherever the bytes are split", "[events]" )
+TEST_CASE( "events are extracted whole wherever the bytes are split",
+           "[events]" )
 {
     auto const text = std::string( "id: 1\ndata: a\n\nweight: 2\nid: 2\n\n"
                                    "data: c\r\nid: 3\r\n\r\n" );
@@ -28,7 +29,8 @@
     }
 }
 
-TEST_CASE( "the longest prefix of a host wins", "[routes]" )
+TEST_CASE( "the route with the longest matching prefix of a host is found",
+           "[routes]" )
 {
     auto c = exchange::route_configuration{};
     for ( auto const* prefix : { "/a/", "/a/b/", "/" } )
@@ -46,7 +48,8 @@
     CHECK( c.find_route( "other", "/a/" ) == nullptr );
 }
 
-TEST_CASE( "the parts of the retry budget add up to the whole", "[retries]" )
+TEST_CASE( "the instances' shares of the retry budget add up to the whole",
+           "[retries]" )
 {
     auto const now = core::instant( 100s );
     auto const service = core::service_id( "s" );
@@ -65,7 +68,8 @@
     CHECK( total >= 0.2 * 700 + 60 );
 }
 
-TEST_CASE( "a repeat counts for its whole window", "[retries]" )
+TEST_CASE( "a retry counts against the budget for the whole window",
+           "[retries]" )
 {
     auto budget = exchange::shared_retry_budget( { 0, 4, 10s } );
     auto const service = core::service_id( "s" );
@@ -84,14 +88,14 @@
 class counted_item : public exchange::waiting_item
 {
 public:
-    counted_item( double order, std::int64_t size, bool* has_room )
-        : order_( order ), size_( size ), has_room_( has_room )
+    counted_item( double order, std::int64_t size, bool* has_capacity )
+        : order_( order ), size_( size ), has_capacity_( has_capacity )
     {
     }
     auto try_start() -> bool override
     {
-        ++tries;
-        return *has_room_;
+        ++attempts;
+        return *has_capacity_;
     }
     [[nodiscard]] auto order() const -> double override
     {
@@ -114,42 +118,43 @@
         return always_tried;
     }
 
-    int tries{ 0 };
+    int attempts{ 0 };
     bool always_tried{ false };
 
 private:
     core::service_id service_{ "s" };
     double order_;
     std::int64_t size_;
-    bool* has_room_;
+    bool* has_capacity_;
 };
 
 }
 
-TEST_CASE( "waiting requests are tried in order, and larger ones not in vain",
-           "[waiting]" )
+TEST_CASE(
+    "waiting requests are tried in order, larger ones only if smaller ones fit",
+    "[waiting]" )
 {
     auto scheduler = held_scheduler{};
     auto queue = exchange::wait_queue( scheduler );
-    auto has_room = false;
-    auto const small = std::make_shared<counted_item>( 2, 10, &has_room );
-    auto const large = std::make_shared<counted_item>( 3, 20, &has_room );
-    auto const first = std::make_shared<counted_item>( 1, 15, &has_room );
+    auto has_capacity = false;
+    auto const small = std::make_shared<counted_item>( 2, 10, &has_capacity );
+    auto const large = std::make_shared<counted_item>( 3, 20, &has_capacity );
+    auto const first = std::make_shared<counted_item>( 1, 15, &has_capacity );
     queue.add( small );
     queue.add( large );
     queue.add( first );
     queue.poke();
     scheduler.run( 2ms );
-    CHECK( first->tries == 1 );
-    CHECK( small->tries == 1 );
-    CHECK( large->tries == 0 );
-    has_room = true;
+    CHECK( first->attempts == 1 );
+    CHECK( small->attempts == 1 );
+    CHECK( large->attempts == 0 );
+    has_capacity = true;
     queue.poke();
     scheduler.run( 2ms );
     CHECK( queue.size() == 0 );
 }
 
-TEST_CASE( "work counts on the board until it ends, whatever comes late",
+TEST_CASE( "work counts in the load table until it ends, despite late updates",
            "[board]" )
 {
     auto loads = exchange::load_table{};
@@ -168,7 +173,7 @@
     CHECK( m1->load.requests == 1 );
     CHECK( m1->load.memory_tokens == 5'000 );
     CHECK( m1->backlog_ms( now ) == Approx( 100 ) );
-    // A target that is told of later than its work is not charged for it.
+    // The work does not count at a target that becomes known after it.
     loads.put( make_target( "m2", "model" ) );
     loads.end_prefill( peer, 1, now );
     CHECK( m1->load.decoding == 1 );
@@ -191,7 +196,7 @@
     CHECK( m2->load.memory_tokens == 0 );
 }
 
-TEST_CASE( "a target that fails again and again is left for longer and longer",
+TEST_CASE( "a target that keeps failing is ejected for longer each time",
            "[board][health]" )
 {
     auto loads = exchange::load_table{};
@@ -212,7 +217,7 @@
     CHECK( m1->health.failures_in_a_row == 0 );
 }
 
-TEST_CASE( "an entry that comes back is used again, one that leaves is not",
+TEST_CASE( "a target whose entry returns is used again, a leaving one is not",
            "[board]" )
 {
     auto loads = exchange::load_table{};
@@ -231,27 +236,29 @@
     CHECK_FALSE( loads.find( id )->takes_work() );
 }
 
-TEST_CASE( "one that is always tried is asked though others found no room",
-           "[waiting]" )
+TEST_CASE(
+    "an item that is always tried is tried although others found no capacity",
+    "[waiting]" )
 {
     auto scheduler = held_scheduler{};
     auto queue = exchange::wait_queue( scheduler );
-    auto has_room = false;
-    auto const small = std::make_shared<counted_item>( 1, 10, &has_room );
-    auto const always = std::make_shared<counted_item>( 2, 20, &has_room );
-    auto const large = std::make_shared<counted_item>( 3, 15, &has_room );
+    auto has_capacity = false;
+    auto const small = std::make_shared<counted_item>( 1, 10, &has_capacity );
+    auto const always = std::make_shared<counted_item>( 2, 20, &has_capacity );
+    auto const large = std::make_shared<counted_item>( 3, 15, &has_capacity );
     always->always_tried = true;
     queue.add( small );
     queue.add( always );
     queue.add( large );
     queue.poke();
     scheduler.run( 2ms );
-    CHECK( always->tries == 1 );
-    CHECK( large->tries == 0 );
+    CHECK( always->attempts == 1 );
+    CHECK( large->attempts == 0 );
 }
 
-TEST_CASE( "targets of a service stand in one order however they come and go",
-           "[board]" )
+TEST_CASE(
+    "the order of a service's targets does not depend on when they were added",
+    "[board]" )
 {
     auto const names = []( exchange::load_table const& loads )
     {
@@ -260,27 +267,29 @@
             all.push_back( t->properties.id.str() );
         return all;
     };
-    auto up = exchange::load_table{};
-    auto down = exchange::load_table{};
+    auto ascending = exchange::load_table{};
+    auto descending = exchange::load_table{};
     for ( auto i = 0; i < 50; ++i )
     {
-        up.put( make_target( "m" + std::to_string( i ), "model" ) );
-        down.put( make_target( "m" + std::to_string( 49 - i ), "model" ) );
+        ascending.put( make_target( "m" + std::to_string( i ), "model" ) );
+        descending.put(
+            make_target( "m" + std::to_string( 49 - i ), "model" ) );
     }
-    CHECK( names( up ) == names( down ) );
-    // One that starts again keeps its place, one that moves leaves its order.
+    CHECK( names( ascending ) == names( descending ) );
+    // A restarted target keeps its position; one that moves to another service
+    // leaves the order.
     auto again = make_target( "m7", "model" );
     again.lifetime = core::target_lifetime( 5 );
-    CHECK( up.put( again ) == exchange::target_change::restarted );
-    CHECK( names( up ) == names( down ) );
-    up.put( make_target( "m8", "plain" ) );
-    down.remove( core::target_id( "m8" ) );
-    CHECK( names( up ) == names( down ) );
-    CHECK( names( up ).size() == 49 );
-    CHECK( up.of_service( core::service_id( "plain" ) ).size() == 1 );
+    CHECK( ascending.put( again ) == exchange::target_change::restarted );
+    CHECK( names( ascending ) == names( descending ) );
+    ascending.put( make_target( "m8", "plain" ) );
+    descending.remove( core::target_id( "m8" ) );
+    CHECK( names( ascending ) == names( descending ) );
+    CHECK( names( ascending ).size() == 49 );
+    CHECK( ascending.of_service( core::service_id( "plain" ) ).size() == 1 );
 }
 
-TEST_CASE( "work that was told before its targets were known is counted later",
+TEST_CASE( "work reported before its targets were known is counted later",
            "[board][coordinator]" )
 {
     auto loads = exchange::load_table{};
@@ -293,7 +302,7 @@
     loads.add_work( other, work, now );
     loads.put( make_target( "m1", "model" ) );
     loads.put( make_target( "m2", "model" ) );
-    // The next regular message tells of it again.
+    // The next regular message reports it again.
     loads.add_work( other, work, now + 200ms );
     auto const m1 = loads.find( core::target_id( "m1" ) );
     auto const m2 = loads.find( core::target_id( "m2" ) );
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-/// 18 engines as the Valuation Office has them.
-struct engine_floor
+/// A load table with 18 idle engines, and a request to place on them.
+struct placement_fixture
 {
-    engine_floor()
+    placement_fixture()
     {
         for ( auto i = 0; i < 18; ++i )
             loads.put( make_target( "m" + std::to_string( i ), "model" ) );
@@ -44,7 +44,8 @@
         return chooser.choose( demand, service, now );
     }
 
-    /// Chooses and counts the work, as an instance does; false if full.
+    /// Chooses targets and adds the work to the load table, as an instance
+    /// does. Returns false if there is no choice.
     auto place( std::int64_t tokens, core::duration gap ) -> bool
     {
         last = choose( tokens, gap );
@@ -60,20 +61,20 @@
         return true;
     }
 
-    /// Tries again each 10 ms, as one that waits, for three seconds at most.
-    /// Returns the time from now to the predicted first event.
+    /// Tries to place a waiting prompt every 10 ms for up to three seconds.
+    /// Returns the time from the first attempt to the predicted first event.
     auto wait_and_place( std::int64_t tokens, core::duration gap )
         -> core::duration
     {
-        auto const came = now;
-        while ( now - came < 3s && !place( tokens, gap ) )
+        auto const arrived_at = now;
+        while ( now - arrived_at < 3s && !place( tokens, gap ) )
         {
             now += 10ms;
             waited += 10ms;
         }
         if ( !last.choice )
             return core::duration::max();
-        return now - came +
+        return now - arrived_at +
                core::duration_of( last.choice->first_event_ms / 1'000 );
     }
 
@@ -99,7 +100,7 @@
 
 }
 
-TEST_CASE( "reading grows with the square of a prompt", "[placement]" )
+TEST_CASE( "prefill grows with the square of the prompt", "[placement]" )
 {
     auto const speed = engine_speed_of_users();
     CHECK( exchange::prefill_ms( speed, 5'000 ) ==
@@ -112,132 +113,138 @@
 
 TEST_CASE( "short prompts are packed and leave engines free", "[placement]" )
 {
-    auto floor = engine_floor{};
+    auto fixture = placement_fixture{};
     auto used = std::set<std::string>{};
     for ( auto i = 0; i < 60; ++i )
     {
-        REQUIRE( floor.place( 5'000, 200ms ) );
-        floor.end_prefill( floor.serial );
-        used.insert( floor.last.choice->targets[0]->properties.id.str() );
+        REQUIRE( fixture.place( 5'000, 200ms ) );
+        fixture.end_prefill( fixture.serial );
+        used.insert( fixture.last.choice->targets[0]->properties.id.str() );
     }
-    // 60 requests over 13 packed slots an engine.
+    // 60 requests fill four engines with 15 packed slots each.
     CHECK( used.size() <= 6 );
 }
 
-TEST_CASE( "a long prompt is read away from short writers", "[placement]" )
+TEST_CASE(
+    "a long prompt is kept away from engines that decode for short prompts",
+    "[placement]" )
 {
-    auto floor = engine_floor{};
+    auto fixture = placement_fixture{};
     auto used = std::set<std::string>{};
     for ( auto i = 0; i < 60; ++i )
     {
-        REQUIRE( floor.place( 5'000, 200ms ) );
-        floor.end_prefill( floor.serial );
-        used.insert( floor.last.choice->targets[0]->properties.id.str() );
+        REQUIRE( fixture.place( 5'000, 200ms ) );
+        fixture.end_prefill( fixture.serial );
+        used.insert( fixture.last.choice->targets[0]->properties.id.str() );
     }
-    REQUIRE( floor.place( 210'000, 800ms ) );
-    CHECK( floor.last.choice->targets.size() >= 7 );
-    for ( auto const& t : floor.last.choice->targets )
+    REQUIRE( fixture.place( 210'000, 800ms ) );
+    CHECK( fixture.last.choice->targets.size() >= 7 );
+    for ( auto const& t : fixture.last.choice->targets )
         CHECK( used.count( t->properties.id.str() ) == 0 );
-    // A dossier spoils short pauses too, though its own route is patient.
-    REQUIRE( floor.place( 45'000, 500ms ) );
-    for ( auto const& t : floor.last.choice->targets )
+    // So is a smaller one: its prefill exceeds short pause objectives too,
+    // although its own route tolerates more.
+    REQUIRE( fixture.place( 45'000, 500ms ) );
+    for ( auto const& t : fixture.last.choice->targets )
         CHECK( used.count( t->properties.id.str() ) == 0 );
 }
 
-TEST_CASE( "a long prompt waits where every engine writes short answers",
+TEST_CASE( "a long prompt waits if all engines decode for short prompts",
            "[placement]" )
 {
-    auto floor = engine_floor{};
-    while ( floor.place( 5'000, 200ms ) )
-        floor.end_prefill( floor.serial );
-    CHECK_FALSE( floor.place( 210'000, 800ms ) );
-    SECTION( "and goes on waiting once it is late itself" )
+    auto fixture = placement_fixture{};
+    while ( fixture.place( 5'000, 200ms ) )
+        fixture.end_prefill( fixture.serial );
+    CHECK_FALSE( fixture.place( 210'000, 800ms ) );
+    SECTION( "and continues to wait once it is late itself" )
     {
-        floor.waited = 4s;
-        CHECK_FALSE( floor.place( 210'000, 800ms ) );
+        fixture.waited = 4s;
+        CHECK_FALSE( fixture.place( 210'000, 800ms ) );
     }
 }
 
-TEST_CASE( "a prompt whose caller is about to leave makes a few others late",
-           "[placement]" )
+TEST_CASE(
+    "a prompt whose caller is about to give up may make a few others late",
+    "[placement]" )
 {
-    auto floor = engine_floor{};
-    // Two short answers are written at each engine.
+    auto fixture = placement_fixture{};
+    // Each engine decodes for two short prompts.
     for ( auto i = 0; i < 36; ++i )
     {
         auto work = exchange::open_work{};
-        work.serial = ++floor.serial;
+        work.serial = ++fixture.serial;
         work.parts = {
             { core::target_id( "m" + std::to_string( i % 18 ) ), 0, 6'600 } };
         work.context_tokens = 5'000;
         work.tolerated_gap_ms = 200;
         work.prefilling = false;
-        floor.loads.add_work( floor.self, work, floor.now );
+        fixture.loads.add_work( fixture.self, work, fixture.now );
     }
-    floor.waited = 9s;
-    CHECK_FALSE( floor.place( 210'000, 800ms ) );
-    floor.patience = 2s;
-    REQUIRE( floor.place( 210'000, 800ms ) );
-    CHECK( floor.last.choice->targets.size() <= 3 );
+    fixture.waited = 9s;
+    CHECK_FALSE( fixture.place( 210'000, 800ms ) );
+    fixture.patience = 2s;
+    REQUIRE( fixture.place( 210'000, 800ms ) );
+    CHECK( fixture.last.choice->targets.size() <= 3 );
 }
 
 TEST_CASE( "one huge prompt does not make those behind it late", "[placement]" )
 {
-    auto floor = engine_floor{};
-    // It waits a little for more engines than there are.
-    floor.waited = 500ms;
-    REQUIRE( floor.place( 400'000, 800ms ) );
-    CHECK( floor.last.choice->first_event_ms < 1'100 );
-    // Nor is a second one placed upon the first.
-    CHECK_FALSE( floor.place( 420'000, 800ms ) );
-    // One behind it waits for engines that are free and is in time.
-    floor.waited = 0ms;
-    CHECK( floor.wait_and_place( 120'000, 800ms ) < 3s );
+    auto fixture = placement_fixture{};
+    // It has waited a little for more engines than there are.
+    fixture.waited = 500ms;
+    REQUIRE( fixture.place( 400'000, 800ms ) );
+    CHECK( fixture.last.choice->first_event_ms < 1'100 );
+    // A second one is not placed behind the first.
+    CHECK_FALSE( fixture.place( 420'000, 800ms ) );
+    // A smaller one waits for free engines and is in time.
+    fixture.waited = 0ms;
+    CHECK( fixture.wait_and_place( 120'000, 800ms ) < 3s );
 }
 
-TEST_CASE( "an engine that reads for itself reads for no other", "[placement]" )
+TEST_CASE( "an engine with its own prefill gets no part of another prompt",
+           "[placement]" )
 {
-    auto floor = engine_floor{};
-    REQUIRE( floor.place( 210'000, 800ms ) );
-    auto const writer = floor.last.choice->targets[0]->properties.id;
-    REQUIRE( floor.wait_and_place( 210'000, 800ms ) < 3s );
-    for ( auto i = std::size_t{ 1 }; i < floor.last.choice->targets.size();
+    auto fixture = placement_fixture{};
+    REQUIRE( fixture.place( 210'000, 800ms ) );
+    auto const decode_target = fixture.last.choice->targets[0]->properties.id;
+    REQUIRE( fixture.wait_and_place( 210'000, 800ms ) < 3s );
+    for ( auto i = std::size_t{ 1 }; i < fixture.last.choice->targets.size();
           ++i )
-        CHECK( floor.last.choice->targets[i]->properties.id != writer );
+        CHECK( fixture.last.choice->targets[i]->properties.id !=
+               decode_target );
 }
 
-TEST_CASE( "a prompt that no engine has room for is reserved at several",
+TEST_CASE( "memory is reserved at several engines for a prompt that fits none",
            "[placement]" )
 {
-    auto floor = engine_floor{};
+    auto fixture = placement_fixture{};
     // Every engine has less than 200,000 tokens free.
-    for ( auto const& [id, target] : floor.loads.all() )
+    for ( auto const& [id, target] : fixture.loads.all() )
     {
         auto work = exchange::open_work{};
-        work.serial = ++floor.serial;
+        work.serial = ++fixture.serial;
         work.parts = { { id, 0, 260'000 } };
         work.tolerated_gap_ms = 800;
         work.prefilling = false;
-        floor.loads.add_work( floor.self, work, floor.now );
+        fixture.loads.add_work( fixture.self, work, fixture.now );
     }
-    REQUIRE( floor.place( 210'000, 800ms ) );
-    CHECK( floor.last.choice->needs_reservation );
+    REQUIRE( fixture.place( 210'000, 800ms ) );
+    CHECK( fixture.last.choice->needs_reservation );
     auto tokens = std::int64_t{ 0 };
-    for ( auto const& part : floor.last.choice->parts )
+    for ( auto const& part : fixture.last.choice->parts )
         tokens += part.memory_tokens;
     CHECK( tokens >= 211'600 );
 }
 
-TEST_CASE( "what all memory together cannot hold is said to be too large",
+TEST_CASE( "a prompt that exceeds the memory of all engines is too large",
            "[placement]" )
 {
-    auto floor = engine_floor{};
-    auto const result = floor.choose( 16 * 450'000, 800ms );
+    auto fixture = placement_fixture{};
+    auto const result = fixture.choose( 16 * 450'000, 800ms );
     CHECK_FALSE( result.choice );
     CHECK( result.reason == exchange::placement_obstacle::too_large );
 }
 
-TEST_CASE( "leaving and shunned targets are passed over", "[placement]" )
+TEST_CASE( "ejected and gone targets are not chosen", "[placement]" )
 {
     auto f = exchange_fixture{};
     f.loads.eject( core::target_id( "p1" ), f.scheduler.now() + 1s );
@@ -249,7 +256,7 @@
     CHECK( result.choice->targets[0]->properties.id ==
            core::target_id( "p2" ) );
     f.loads.mark_gone( core::target_id( "p2" ) );
-    // Better a target that failed than none.
+    // An ejected target is still better than none.
     result = f.chooser.choose( demand, settings, f.scheduler.now() );
     REQUIRE( result.choice );
     CHECK( result.choice->targets[0]->properties.id ==
@@ -260,12 +267,12 @@
     CHECK( result.reason == exchange::placement_obstacle::no_targets );
 }
 
-/// Ten seconds of the users' mix over a floor whose engines behave as the model
-/// says; what matters is how many short answers have a long part beside them.
-TEST_CASE( "under the heaviest mix few short answers meet a long part",
+/// Simulates ten seconds of mixed load on engines that behave as predicted, and
+/// counts the short prompts that are placed beside a part of a long one.
+TEST_CASE( "under heavy load few short prompts are placed beside long ones",
            "[placement][load]" )
 {
-    auto floor = engine_floor{};
+    auto fixture = placement_fixture{};
     struct running
     {
         std::uint64_t serial;
@@ -274,235 +281,244 @@
     };
     auto open = std::vector<running>{};
     auto random = std::minstd_rand( 7 );
-    auto spoiled = 0;
+    auto delayed_shorts = 0;
     auto shorts = 0;
     auto longs_in_time = 0;
     auto longs = 0;
     auto waiting = std::deque<core::instant>{};
     for ( auto ms = 0; ms < 10'000; ms += 10 )
     {
-        floor.now += 10ms;
+        fixture.now += 10ms;
         std::erase_if( open,
                        [&]( auto const& r )
                        {
-                           if ( r.until > floor.now )
+                           if ( r.until > fixture.now )
                                return false;
-                           floor.loads.end_work( floor.self, r.serial,
-                                                 floor.now );
+                           fixture.loads.end_work( fixture.self, r.serial,
+                                                   fixture.now );
                            return true;
                        } );
-        // An instance tells of a first event when it has come.
+        // An instance reports a first event as soon as it has come.
         for ( auto const& r : open )
-            if ( r.first_event <= floor.now )
-                floor.end_prefill( r.serial );
+            if ( r.first_event <= fixture.now )
+                fixture.end_prefill( r.serial );
         auto const draw = std::uniform_real_distribution<>( 0, 1 )( random );
         if ( draw < 0.4 )
         {
             ++shorts;
-            if ( floor.place( 5'000, 200ms ) )
+            if ( fixture.place( 5'000, 200ms ) )
             {
-                auto const& t = *floor.last.choice->targets[0];
-                spoiled += t.backlog_ms( floor.now ) > 200 ? 1 : 0;
-                floor.end_prefill( floor.serial );
-                open.push_back( { floor.serial, floor.now + 2s, floor.now } );
+                auto const& t = *fixture.last.choice->targets[0];
+                delayed_shorts += t.backlog_ms( fixture.now ) > 200 ? 1 : 0;
+                fixture.end_prefill( fixture.serial );
+                open.push_back(
+                    { fixture.serial, fixture.now + 2s, fixture.now } );
             }
         }
         else if ( draw < 0.42 )
         {
             ++longs;
-            waiting.push_back( floor.now );
+            waiting.push_back( fixture.now );
         }
-        // Those that find no room wait and are tried again, the oldest first.
+        // Prompts without capacity wait and are tried again, oldest first.
         while ( !waiting.empty() )
         {
-            floor.waited = floor.now - waiting.front();
-            auto const placed = floor.place( 210'000, 800ms );
+            fixture.waited = fixture.now - waiting.front();
+            auto const placed = fixture.place( 210'000, 800ms );
             auto const first =
-                placed ? core::duration_of( floor.last.choice->first_event_ms /
-                                            1'000 )
+                placed ? core::duration_of(
+                             fixture.last.choice->first_event_ms / 1'000 )
                        : 0ms;
-            longs_in_time += placed && floor.waited + first < 3s ? 1 : 0;
-            floor.waited = 0ms;
+            longs_in_time += placed && fixture.waited + first < 3s ? 1 : 0;
+            fixture.waited = 0ms;
             if ( !placed )
                 break;
             waiting.pop_front();
             open.push_back(
-                { floor.serial, floor.now + 3s, floor.now + first } );
+                { fixture.serial, fixture.now + 3s, fixture.now + first } );
         }
     }
-    CHECK( spoiled * 20 <= shorts );
+    CHECK( delayed_shorts * 20 <= shorts );
     CHECK( longs_in_time * 10 >= longs * 8 );
 }
 
 TEST_CASE( "instances that choose at once do not all choose the same engine",
            "[placement]" )
 {
-    auto floor = engine_floor{};
-    // 300 short prompts a second arrive, and an instance hears of the others'
-    // choices 30 ms late: nine requests choose from the same board.
+    auto fixture = placement_fixture{};
+    // 300 short prompts arrive per second, and an instance learns of the
+    // others' choices 30 ms late: nine requests choose from the same load
+    // table.
     for ( auto i = 0; i < 1'000; ++i )
     {
-        floor.now += 3ms;
+        fixture.now += 3ms;
         auto work = exchange::open_work{};
-        work.serial = ++floor.serial;
+        work.serial = ++fixture.serial;
         work.parts = { { core::target_id( "m0" ), 0, 0 } };
-        floor.loads.add_work( floor.self, work, floor.now );
-        floor.loads.end_work( floor.self, work.serial, floor.now );
+        fixture.loads.add_work( fixture.self, work, fixture.now );
+        fixture.loads.end_work( fixture.self, work.serial, fixture.now );
     }
-    auto at_engine = std::map<std::string, int>{};
+    auto count_by_engine = std::map<std::string, int>{};
     for ( auto i = 0; i < 9; ++i )
     {
-        floor.draw = ( i + 0.5 ) / 9;
-        auto const result = floor.choose( 5'000, 200ms );
+        fixture.draw = ( i + 0.5 ) / 9;
+        auto const result = fixture.choose( 5'000, 200ms );
         REQUIRE( result.choice );
-        ++at_engine[result.choice->targets[0]->properties.id.str()];
+        ++count_by_engine[result.choice->targets[0]->properties.id.str()];
     }
-    for ( auto const& [id, count] : at_engine )
+    for ( auto const& [id, count] : count_by_engine )
         CHECK( count <= 4 );
-    SECTION( "and where little arrives they stay together" )
+    SECTION( "but at a low arrival rate they stay together" )
     {
-        floor.now += 10s;
-        at_engine.clear();
+        fixture.now += 10s;
+        count_by_engine.clear();
         for ( auto i = 0; i < 9; ++i )
         {
-            floor.draw = ( i + 0.5 ) / 9;
-            ++at_engine[floor.choose( 5'000, 200ms )
-                            .choice->targets[0]
-                            ->properties.id.str()];
+            fixture.draw = ( i + 0.5 ) / 9;
+            ++count_by_engine[fixture.choose( 5'000, 200ms )
+                                  .choice->targets[0]
+                                  ->properties.id.str()];
         }
-        CHECK( at_engine.size() == 1 );
+        CHECK( count_by_engine.size() == 1 );
     }
 }
 
-TEST_CASE( "an engine that reads for others ends it before it gets more",
-           "[placement]" )
+TEST_CASE(
+    "an engine finishes its part of a prompt before it gets another part",
+    "[placement]" )
 {
-    auto floor = engine_floor{};
-    REQUIRE( floor.place( 300'000, 800ms ) );
+    auto fixture = placement_fixture{};
+    REQUIRE( fixture.place( 300'000, 800ms ) );
     auto first = std::set<std::string>{};
-    for ( auto const& t : floor.last.choice->targets )
+    for ( auto const& t : fixture.last.choice->targets )
         first.insert( t->properties.id.str() );
     REQUIRE( first.size() >= 10 );
-    // A part that came now would be read before the one that waits.
-    floor.now += 260ms;
-    floor.waited = 2s;
-    if ( floor.place( 210'000, 800ms ) )
-        for ( auto const& t : floor.last.choice->targets )
+    // The prefill of a part that arrives now would come before the one that
+    // waits.
+    fixture.now += 260ms;
+    fixture.waited = 2s;
+    if ( fixture.place( 210'000, 800ms ) )
+        for ( auto const& t : fixture.last.choice->targets )
             CHECK( first.count( t->properties.id.str() ) == 0 );
-    SECTION( "and is free as soon as that has ended" )
+    SECTION( "and is free as soon as the part has ended" )
     {
-        floor.now += 300ms;
-        REQUIRE( floor.place( 210'000, 800ms ) );
-        CHECK( floor.last.choice->targets.size() >= 10 );
+        fixture.now += 300ms;
+        REQUIRE( fixture.place( 210'000, 800ms ) );
+        CHECK( fixture.last.choice->targets.size() >= 10 );
     }
 }
 
-TEST_CASE( "a prompt of any size is placed where all engines are free",
+TEST_CASE( "a prompt of any size is placed if all engines are free",
            "[placement]" )
 {
     for ( auto const tokens : { 500'000, 700'000, 850'000, 1'000'000 } )
     {
-        auto floor = engine_floor{};
-        floor.is_only_split_prompt = true;
+        auto fixture = placement_fixture{};
+        fixture.is_only_split_prompt = true;
         INFO( tokens );
-        REQUIRE( floor.place( tokens, 800ms ) );
-        CHECK( floor.last.choice->needs_reservation );
-        CHECK( floor.last.choice->first_event_ms < 3'500 );
+        REQUIRE( fixture.place( tokens, 800ms ) );
+        CHECK( fixture.last.choice->needs_reservation );
+        CHECK( fixture.last.choice->first_event_ms < 3'500 );
     }
 }
 
-TEST_CASE( "a huge prompt that is late leaves engines to short ones",
+TEST_CASE( "a huge prompt that is late leaves engines free for short ones",
            "[placement]" )
 {
-    auto floor = engine_floor{};
-    floor.is_only_split_prompt = true;
-    floor.waited = 9s;
-    // Parts of 1.1 s at most engines would meet a wave of short prompts.
-    REQUIRE( floor.place( 441'000, 800ms ) );
-    CHECK( floor.last.choice->targets.size() <= 9 );
+    auto fixture = placement_fixture{};
+    fixture.is_only_split_prompt = true;
+    fixture.waited = 9s;
+    // A burst of short prompts would otherwise find parts of 1.1 s at most of
+    // the engines.
+    REQUIRE( fixture.place( 441'000, 800ms ) );
+    CHECK( fixture.last.choice->targets.size() <= 9 );
 }
 
-TEST_CASE( "no more short prompts go to an engine than it can read in time",
+TEST_CASE( "no more short prompts are placed on an engine than can be in time",
            "[placement][load]" )
 {
-    // Twelve come at one moment, as at the start of a wave. One after the other
-    // at one engine the last would wait for 250 ms of reading and two passes.
-    auto floor = engine_floor{};
+    // Twelve arrive at the same moment, as at the start of a burst. If one
+    // engine got all of them, the last would wait for 250 ms of prefill and two
+    // passes.
+    auto fixture = placement_fixture{};
     auto at = std::map<std::string, int>{};
     SECTION( "they are spread" )
     {
         for ( auto i = 0; i < 12; ++i )
         {
-            REQUIRE( floor.place( 5'000, 200ms ) );
-            CHECK( floor.last.choice->first_event_ms < 225 );
-            ++at[floor.last.choice->targets[0]->properties.id.str()];
+            REQUIRE( fixture.place( 5'000, 200ms ) );
+            CHECK( fixture.last.choice->first_event_ms < 225 );
+            ++at[fixture.last.choice->targets[0]->properties.id.str()];
         }
         CHECK( at.size() >= 3 );
         CHECK( at.size() <= 5 );
     }
     SECTION( "but packed closer while long prompts wait for engines" )
     {
-        floor.others_in_time = true;
+        fixture.others_in_time = true;
         for ( auto i = 0; i < 12; ++i )
         {
-            REQUIRE( floor.place( 5'000, 200ms ) );
-            ++at[floor.last.choice->targets[0]->properties.id.str()];
+            REQUIRE( fixture.place( 5'000, 200ms ) );
+            ++at[fixture.last.choice->targets[0]->properties.id.str()];
         }
         CHECK( at.size() <= 3 );
     }
 }
 
-TEST_CASE( "a prompt takes fewer engines where most of them are busy",
+TEST_CASE( "a prompt takes fewer engines if most of them are busy",
            "[placement]" )
 {
-    auto floor = engine_floor{};
-    REQUIRE( floor.place( 100'000, 800ms ) );
-    auto const idle = floor.last.choice->targets.size();
-    auto busy = engine_floor{};
+    auto fixture = placement_fixture{};
+    REQUIRE( fixture.place( 100'000, 800ms ) );
+    auto const idle = fixture.last.choice->targets.size();
+    auto busy = placement_fixture{};
     for ( auto i = 0; i < 10; ++i )
         REQUIRE( busy.place( 45'000, 800ms ) );
     REQUIRE( busy.place( 100'000, 800ms ) );
     CHECK( busy.last.choice->targets.size() < idle );
 }
 
-TEST_CASE( "two under suspicion do not run at the same engine",
+TEST_CASE( "two suspect contents do not run at the same engine",
            "[placement][crash]" )
 {
-    auto f = engine_floor{};
+    auto fixture = placement_fixture{};
     for ( auto i = 0; i < 40; ++i )
-        REQUIRE( f.place( 5'000, 200ms ) );
+        REQUIRE( fixture.place( 5'000, 200ms ) );
     auto used = std::set<std::string>{};
-    f.crashes = 1;
+    fixture.crashes = 1;
     for ( auto i = 0; i < 16; ++i )
     {
-        REQUIRE( f.place( 5'000, 200ms ) );
+        REQUIRE( fixture.place( 5'000, 200ms ) );
         CHECK(
-            used.insert( f.last.choice->targets.front()->properties.id.str() )
+            used.insert(
+                    fixture.last.choice->targets.front()->properties.id.str() )
                 .second );
     }
     SECTION( "unless there are more of them than engines" )
     {
         for ( auto i = 0; i < 16; ++i )
-            CHECK( f.place( 5'000, 200ms ) );
+            CHECK( fixture.place( 5'000, 200ms ) );
     }
-    SECTION( "and what ends no longer counts" )
+    SECTION( "and ended requests no longer count" )
     {
-        for ( auto serial = std::uint64_t{ 1 }; serial <= f.serial; ++serial )
-            f.loads.end_work( f.self, serial, f.now );
-        for ( auto const& [id, t] : f.loads.all() )
+        for ( auto serial = std::uint64_t{ 1 }; serial <= fixture.serial;
+              ++serial )
+            fixture.loads.end_work( fixture.self, serial, fixture.now );
+        for ( auto const& [id, t] : fixture.loads.all() )
             CHECK( t->load.suspects == 0 );
     }
 }
 
-TEST_CASE( "one that met two ends runs beside as few as can be",
-           "[placement][crash]" )
+TEST_CASE(
+    "a content that was present at two crashes runs beside the fewest requests",
+    "[placement][crash]" )
 {
-    auto f = engine_floor{};
+    auto fixture = placement_fixture{};
     for ( auto i = 0; i < 60; ++i )
-        REQUIRE( f.place( 5'000, 200ms ) );
-    f.crashes = 2;
-    REQUIRE( f.place( 5'000, 200ms ) );
-    auto const beside = f.last.choice->basis.requests;
-    for ( auto const& [id, t] : f.loads.all() )
+        REQUIRE( fixture.place( 5'000, 200ms ) );
+    fixture.crashes = 2;
+    REQUIRE( fixture.place( 5'000, 200ms ) );
+    auto const beside = fixture.last.choice->basis.requests;
+    for ( auto const& [id, t] : fixture.loads.all() )
         CHECK( beside <= t->load.requests );
 }
--- a/tests/exchange/prefill_order_test.cpp
+++ b/tests/exchange/prefill_order_test.cpp
@@ -31,8 +31,8 @@
     // The prefill of a review takes 0.3 s of its objective of 1.5 s. Parts of
     // the audits take up to a second and arrive during the prefill of reviews,
     // on engines with a prefill utilization of one half. If parts may join an
-    // engine during the first 250 ms of its prefill, a review is delayed by
-    // such a part and gets late.
+    // engine during the first 250 ms of its prefill, one of the 100 reviews is
+    // delayed by such a part and gets late.
     auto speed = engine_speed_of_users();
     speed.memory_tokens = 197'200;
     speed.prefill_tokens_per_ms = 206;
