--- a/src/pollenstream/exchange/engine_capacity.cpp
+++ b/src/pollenstream/exchange/engine_capacity.cpp
@@ -6,8 +6,8 @@
 namespace
 {
 
-/// Share of an engine's KV memory that is allocated. The rest is a reserve: the
-/// load reported by other instances is some milliseconds old, and an engine
+/// Share of an engine's KV memory that is handed out. The rest is a reserve:
+/// the load reported by other instances is some milliseconds old, and an engine
 /// that runs out of memory has to repeat the prefill of a prompt.
 constexpr auto usable_memory_share = 0.97;
 
--- a/src/pollenstream/exchange/engine_capacity.hpp
+++ b/src/pollenstream/exchange/engine_capacity.hpp
@@ -9,9 +9,9 @@
 namespace pollenstream::exchange
 {
 
-/// Tokens of KV memory that may be allocated at an idle engine.
+/// Tokens of memory that may be handed out at an engine without load.
 auto usable_memory( engine_speed const& speed ) -> std::int64_t;
-/// Tokens of KV memory that may still be allocated at `t`.
+/// Tokens of memory that may still be handed out at `t`.
 auto free_memory( engine_speed const& speed, target_entry const& t )
     -> std::int64_t;
 /// True if `t` can start one more request.
@@ -28,7 +28,6 @@
 /// `pause_ms` between two events.
 auto weight_delayed_by( target_entry const& t, double pause_ms ) -> double;
 
-/// `d` in milliseconds.
 auto ms_of( core::duration d ) -> double;
 
 }
--- a/src/pollenstream/exchange/split_queue.hpp
+++ b/src/pollenstream/exchange/split_queue.hpp
@@ -22,17 +22,17 @@
 
     [[nodiscard]] auto size() const -> std::size_t
     {
-        return due_times_.size();
+        return dues_.size();
     }
-    /// Number of prompts that wait, without one that is due at `excluded`.
-    [[nodiscard]] auto others( core::instant excluded ) const -> std::size_t;
+    /// Number of prompts that wait, without one that is due at `except`.
+    [[nodiscard]] auto others( core::instant except ) const -> std::size_t;
     /// True if a prompt that is not late at `now` waits, without counting one
-    /// that is due at `excluded`.
-    [[nodiscard]] auto others_in_time( core::instant excluded,
+    /// that is due at `except`.
+    [[nodiscard]] auto others_in_time( core::instant except,
                                        core::instant now ) const -> bool;
 
 private:
-    std::multiset<core::instant> due_times_;
+    std::multiset<core::instant> dues_;
 };
 
 }
