--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -51,7 +51,7 @@
 {
     std::int64_t requests{ 0 };   ///< that the first target answers
     std::int64_t prefilling{ 0 }; ///< parts that the first target prefills
-    double backlog_ms{ 0 };       ///< largest one of the chosen targets
+    double backlog_ms{ 0 };       ///< largest among the chosen targets
     /// Time that the request waited for capacity under targets' limits.
     std::int64_t limit_wait_ms{ 0 };
 };
@@ -98,9 +98,10 @@
 {
     using list = std::vector<std::shared_ptr<target_entry>>;
 
-    list unlimited; ///< no limit, or one that binds later than the slots
-    list limited;   ///< their limits allow a request now
-    list ejected;   ///< considered failing; their limits allow a request now
+    /// No limit, or an ample one unless limits may only be probed.
+    list unlimited;
+    list limited; ///< their limits allow a request now
+    list ejected; ///< considered failing; their limits allow a request now
     /// Further targets have capacity later, according to their limits.
     bool limited_later{ false };
 
@@ -141,13 +142,12 @@
         -> std::optional<limited_capacity>;
 
     /// True if the prompt cannot have its first event in time any more, even
-    /// with as many engines as one prompt may take.
+    /// with as many engines as it can expect to get.
     [[nodiscard]] auto is_too_late( placement_demand const& demand,
                                     service_settings const& service ) const
         -> bool;
 
-    /// Prefill time of the prompt if it gets as many engines as one prompt may
-    /// take.
+    /// Prefill time of the prompt on as many engines as it can expect to get.
     [[nodiscard]] auto shortest_prefill( placement_demand const& demand,
                                          service_settings const& service ) const
         -> core::duration;
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -24,9 +24,9 @@
 constexpr auto max_part_per_objective = 0.8;
 /// The decode target of a long prompt is drawn from one in this many engines,
 /// if they are equally good, so that in a large fleet long answers do not all
-/// wait for the same engine. With more decode targets, fewer engines can
-/// prefill long parts: answers that tolerate pauses of 600 ms, spread over
-/// three of 14 engines, keep five from it.
+/// wait for the same engine. More decode targets leave fewer engines for long
+/// parts: if answers that tolerate pauses of 600 ms are spread over three of
+/// 14, five engines cannot prefill larger parts.
 constexpr auto engines_per_decode_target = std::size_t{ 15 };
 /// How much sooner in ms the prefill has to end for each additional part, if no
 /// engine is busy and if all are. Each part costs its engine a pass. If most
@@ -73,13 +73,13 @@
     -> placement_choice
 {
     auto choice = placement_choice{};
-    for ( auto const& r : divided.engines )
+    for ( auto const& candidate : divided.engines )
     {
-        choice.targets.push_back( r.target );
+        choice.targets.push_back( candidate.target );
         choice.parts.push_back(
-            { r.target->properties.id,
-              part_time_ms( speed, *r.target, divided.part_ms ), 0,
-              r.target->properties.lifetime } );
+            { candidate.target->properties.id,
+              part_time_ms( speed, *candidate.target, divided.part_ms ), 0,
+              candidate.target->properties.lifetime } );
     }
     choice.first_event_ms =
         divided.finish_ms + pass_ms( speed, *choice.targets.front() );
@@ -122,9 +122,9 @@
             break;
         auto engines = prefill_candidates_of( speed, targets, part_ms, 0, now );
         std::erase_if( engines,
-                       [&]( auto const& r )
+                       [&]( auto const& candidate )
                        {
-                           return r.target == decode_target->target;
+                           return candidate.target == decode_target->target;
                        } );
         if ( engines.size() + 1 < parts )
             break;
--- a/src/pollenstream/exchange/prompt_division.cpp
+++ b/src/pollenstream/exchange/prompt_division.cpp
@@ -187,10 +187,10 @@
 {
     auto delayed_weight = 0.0;
     auto backlog = 0.0;
-    for ( auto const& r : engines )
+    for ( auto const& candidate : engines )
     {
-        delayed_weight += r.delayed_weight;
-        backlog = std::max( backlog, r.backlog_ms );
+        delayed_weight += candidate.delayed_weight;
+        backlog = std::max( backlog, candidate.backlog_ms );
     }
     auto const finish = backlog + part_ms;
     if ( finish > max_finish_of( limits, engines.size() ) ||
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -33,10 +33,10 @@
 {
     std::shared_ptr<target_entry> target;
     double backlog_ms{ 0 };
-    double delayed_weight{
-        0 }; ///< of the requests whose pauses would get too long
-    double interactive_weight{
-        0 }; ///< of the requests that tolerate only short pauses
+    /// Weight of the requests there whose pauses would get too long.
+    double delayed_weight{ 0 };
+    /// Weight of the requests there that tolerate only short pauses.
+    double interactive_weight{ 0 };
 };
 
 /// A way to divide a long prompt among engines; the first one decodes.
@@ -94,7 +94,7 @@
 auto is_better_decode_target( prefill_candidate const& a,
                               prefill_candidate const& b ) -> bool;
 
-/// The limits of a division for `demand` over `engines` engines. No other
+/// The limits of a division for `demand` with `engines` engines. No other
 /// request may be made late while this one can wait, nor once it is late
 /// itself; except shortly before its caller leaves, as an answer that never
 /// comes is worse than a few late ones.
