--- a/src/pollenstream/exchange/placement.cpp
+++ b/src/pollenstream/exchange/placement.cpp
@@ -389,6 +389,7 @@
     return choose_short( demand, speed, targets, now );
 }
 
+/// The plain target with the lowest load relative to its slots.
 auto placement::choose_plain( candidates const& targets,
                               core::instant now ) const -> placement_result
 {
@@ -420,6 +421,9 @@
     return { choice, placement_obstacle::full };
 }
 
+/// Packs short prompts onto the first engines in order of rank that are
+/// predicted to be in time, and draws among these. If there are none, the
+/// engines with the earliest predicted first event are used.
 auto placement::choose_short( placement_demand const& demand,
                               engine_speed const& speed,
                               candidates const& targets,
--- a/src/pollenstream/exchange/placement_long.cpp
+++ b/src/pollenstream/exchange/placement_long.cpp
@@ -95,6 +95,8 @@
            preferred_part_ms * min_split_parts;
 }
 
+/// Divides a long prompt that fits one engine among the decode target, which
+/// holds all of its memory, and the best prefill candidates.
 auto placement::choose_long( placement_demand const& demand,
                              engine_speed const& speed,
                              candidates const& targets,
@@ -177,6 +179,8 @@
     return fitting[std::min( drawn, equal - 1 )];
 }
 
+/// Divides a prompt that no engine can hold among at least two engines, each of
+/// which reserves a share of its memory.
 auto placement::choose_reserved( placement_demand const& demand,
                                  engine_speed const& speed,
                                  candidates const& targets,
