--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -138,8 +138,9 @@
     demand.time_left = deadline_ - now;
     demand.patience_left = waits_until( now ) - now;
     demand.crashes = owner_.crashes_.count( request.content );
-    demand.is_alone = ( in_split_queue_ ? split_prompts.others( due() )
-                                        : split_prompts.size() ) == 0;
+    demand.is_only_split_prompt =
+        ( in_split_queue_ ? split_prompts.others( due() )
+                          : split_prompts.size() ) == 0;
     demand.others_in_time = split_prompts.others_in_time(
         in_split_queue_ ? due() : core::instant::min(), now );
     demand.draw =
@@ -212,7 +213,7 @@
     if ( !capacity || !request.may_be_refused )
         return false;
     auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
-    if ( capacity->behind( ahead ) <= latest )
+    if ( capacity->available_after( ahead ) <= latest )
         return false;
     owner_.counters_.limited.add();
     return refuse( limited_reason, owner_.time_to_return( *this, *capacity ) );
@@ -362,8 +363,8 @@
     auto const now = scheduler_.now();
     auto& last = returns_[demand.service];
     auto const next = last + core::duration_of( 1 / capacity.per_second );
-    auto const at =
-        std::max( { now, capacity.behind( others_waiting( who ) ), next } );
+    auto const at = std::max(
+        { now, capacity.available_after( others_waiting( who ) ), next } );
     if ( at - now < demand.time_left )
         last = at;
     return std::max( at - now, shortest_return );
--- a/src/pollenstream/exchange/split_queue.hpp
+++ b/src/pollenstream/exchange/split_queue.hpp
@@ -9,10 +9,11 @@
 namespace pollenstream::exchange
 {
 
-/// Wide prompts that wait for engines, by the time at which each has to have
-/// its first event. A prompt is wide where several engines read it at once.
+/// The due times of the split prompts that wait for engines: the times by which
+/// their first events have to come. The prefill of a split prompt is divided
+/// among several engines.
 ///
-/// Used by one thread.
+/// Not thread-safe.
 class split_queue
 {
 public:
@@ -23,10 +24,10 @@
     {
         return dues_.size();
     }
-    /// Those that wait besides one that is due at `except`.
+    /// Number of prompts that wait, without one that is due at `except`.
     [[nodiscard]] auto others( core::instant except ) const -> std::size_t;
-    /// True where one that is still in time waits besides one that is due at
-    /// `except`.
+    /// True if a prompt that is not late at `now` waits, without counting one
+    /// that is due at `except`.
     [[nodiscard]] auto others_in_time( core::instant except,
                                        core::instant now ) const -> bool;
 
