--- a/src/pollenstream/adapters/spdlog/structured_log.cpp
+++ b/src/pollenstream/adapters/spdlog/structured_log.cpp
@@ -108,7 +108,7 @@
         .milliseconds( "backlog_ms", e.basis.backlog_ms )
         .number( "configuration", e.configuration.count() )
         .text( "decided_by", e.decided_by.str() )
-        .milliseconds( "asked_ms", e.asked_for );
+        .milliseconds( "asked_ms", e.placement_time );
     if ( e.basis.limit_wait_ms > 0 )
         line.number( "limit_ms", e.basis.limit_wait_ms );
     if ( e.parts.size() > 1 )
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -65,8 +65,8 @@
     core::counter served;
     core::counter refused;
     core::counter failed;
-    core::counter abandoned; ///< the caller left
-    core::counter repeats;
+    core::counter caller_gone; ///< the caller closed its connection
+    core::counter retries;
     core::counter resumed;
     /// Headers of targets' answers that nobody here knows.
     core::name_counts unknown_headers;
--- a/src/pollenstream/exchange/event_log.hpp
+++ b/src/pollenstream/exchange/event_log.hpp
@@ -45,8 +45,8 @@
     std::int64_t prompt_tokens{ 0 };
     choice_basis basis; ///< what `decided_by` knew of the targets
     core::revision configuration;
-    core::instance_id decided_by;  ///< the instance that chose the targets
-    core::duration asked_for{ 0 }; ///< from the ask to the choice
+    core::instance_id decided_by;       ///< the instance that chose the targets
+    core::duration placement_time{ 0 }; ///< from the ask to the choice
 };
 
 /// An attempt at a target failed, and what follows from it.
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -14,25 +14,26 @@
 
 using namespace std::chrono_literals;
 
-/// Callers of streams leave after a gap of the longest of these: a fixed time,
-/// and multiples of the two objectives (the platform's page on requests).
-constexpr auto shortest_patience = core::duration( 2s );
+/// Callers leave after a silence as long as the largest of these: a fixed time
+/// and multiples of the route's two objectives. The platform defines them.
+constexpr auto min_patience = core::duration( 2s );
 constexpr auto patience_per_latency = 4;
 constexpr auto patience_per_gap = 8;
-/// A request that waits is refused this much before its caller would leave,
-/// so that the caller hears when to come back.
+/// A waiting request is refused this long before its caller would leave, so
+/// that the caller still receives the Retry-After header.
 constexpr auto refusal_margin = core::duration( 150ms );
-/// Retry-After where no configuration is known, or the process is about to end
-/// and callers find another instance at once.
+/// Retry-After if this instance has no configuration yet.
 constexpr auto retry_after_no_configuration = core::duration( 300ms );
-/// How long a request waits for the first configuration of its instance: the
-/// store answers within 25 ms of a start, and within 200 ms where it is slow.
-constexpr auto longest_wait_for_configuration = core::duration( 400ms );
+/// Longest wait for the first configuration of this instance. The store answers
+/// within 25 ms of a start, or within 200 ms when it is slow.
+constexpr auto max_wait_for_configuration = core::duration( 400ms );
+/// Retry-After when the process is about to end: callers find another instance
+/// at once.
 constexpr auto retry_after_stop = core::duration( 0ms );
-/// What a call and a stream take as a rule; a process that is about to end
-/// admits only what fits in.
-constexpr auto usual_call_time = core::duration( 400ms );
-constexpr auto usual_stream_time = core::duration( 2500ms );
+/// Typical duration of a call and of a stream. A process that is about to end
+/// admits only requests that should finish before it does.
+constexpr auto typical_call_time = core::duration( 400ms );
+constexpr auto typical_stream_time = core::duration( 2500ms );
 constexpr auto status_unauthorized = 401;
 constexpr auto status_not_found = 404;
 
@@ -45,23 +46,25 @@
 
 }
 
-exchange::exchange( exchange_context& shared,
+exchange::exchange( exchange_context& context,
                     caller_request request,
                     std::shared_ptr<answer_channel> answer )
-    : shared_( shared ), request_( std::move( request ) ),
-      answer_( std::move( answer ) ), configuration_( shared.configuration )
+    : context_( context ), request_( std::move( request ) ),
+      answer_( std::move( answer ) ), configuration_( context.configuration )
 {
-    shared_.open.insert( this );
-    shared_.counters.requests.add();
+    context_.open.insert( this );
+    context_.counters.requests.add();
 }
 
 exchange::~exchange()
 {
     core::check_invariant( core::invariant::ends_in_time, finished_,
-                           "exchange " + request_.id.str() + " dropped open" );
+                           "exchange " + request_.id.str() +
+                               " destroyed before it ended" );
     core::check_invariant( core::invariant::memory_is_returned,
-                           !current_ && !silent_ && !ask_,
-                           "exchange " + request_.id.str() + " kept work" );
+                           !current_ && !silent_ && !pending_placement_,
+                           "exchange " + request_.id.str() +
+                               " destroyed with open work at targets" );
 }
 
 auto exchange::find_route() -> bool
@@ -94,7 +97,7 @@
     for ( auto const& s : route_->services )
         total += s.weight;
     auto drawn =
-        std::uniform_real_distribution<double>( 0, total )( shared_.random );
+        std::uniform_real_distribution<double>( 0, total )( context_.random );
     for ( auto const& s : route_->services )
     {
         demand_.service = s.service;
@@ -105,18 +108,18 @@
     service_ = configuration_->find_service( demand_.service );
 }
 
-auto exchange::set_times() -> void
+auto exchange::set_deadlines() -> void
 {
     deadline_ = request_.received + time_limit();
-    patience_ = std::max( { shortest_patience,
+    patience_ = std::max( { min_patience,
                             route_->latency_objective * patience_per_latency,
                             route_->gap_objective * patience_per_gap } );
-    auto const left = deadline_ - shared_.scheduler.now();
-    deadline_call_ = shared_.scheduler.call_after( left,
-                                                   [this]
-                                                   {
-                                                       on_deadline();
-                                                   } );
+    auto const left = deadline_ - context_.scheduler.now();
+    deadline_timer_ = context_.scheduler.call_after( left,
+                                                     [this]
+                                                     {
+                                                         on_deadline();
+                                                     } );
 }
 
 auto exchange::start() -> void
@@ -125,16 +128,16 @@
         return wait_for_configuration();
     admit();
     if ( !finished_ && !try_start() )
-        wait_for_room();
+        wait_for_capacity();
 }
 
-/// A fresh instance is connected to before it has read the configuration. A
-/// refusal then would cost the caller one of its few tries.
+/// Callers connect to a new instance before it has read the configuration. A
+/// refusal would use up one of the caller's few attempts, so the request waits.
 auto exchange::wait_for_configuration() -> void
 {
-    shared_.queue.add( shared_from_this() );
-    patience_call_ = shared_.scheduler.call_after(
-        longest_wait_for_configuration,
+    context_.queue.add( shared_from_this() );
+    patience_timer_ = context_.scheduler.call_after(
+        max_wait_for_configuration,
         [this]
         {
             auto const keep = shared_from_this();
@@ -149,36 +152,39 @@
                      route_->timeout );
 }
 
-/// What comes while callers hear of the stop is taken in where it usually fits
-/// in; what comes later has other instances to go to and must not be cut.
+/// True if the request may still be running when the process ends. Until all
+/// callers know of the stop, the typical duration is assumed. After that
+/// callers have other instances to use, so the full time limit must fit: no
+/// request that was admitted may be cut off.
 auto exchange::may_outlast_stop( core::instant now ) const -> bool
 {
-    if ( !shared_.stop )
+    if ( !context_.stop )
         return false;
-    auto const usual = route_->kind == request_kind::stream ? usual_stream_time
-                                                            : usual_call_time;
-    auto const callers_know = now >= shared_.stop->callers_know_at;
+    auto const typical = route_->kind == request_kind::stream
+                             ? typical_stream_time
+                             : typical_call_time;
+    auto const callers_informed = now >= context_.stop->callers_know_at;
     auto const needed =
-        callers_know ? time_limit() : std::min( usual, time_limit() );
-    return now + needed > shared_.stop->ends_at;
+        callers_informed ? time_limit() : std::min( typical, time_limit() );
+    return now + needed > context_.stop->ends_at;
 }
 
-/// Finds what the configuration says of the request, or refuses it.
+/// Applies the configuration to the request, or refuses it.
 auto exchange::admit() -> void
 {
     if ( !find_route() )
         return;
     content_ = content_of( request_, workspace_ );
     if ( is_quarantined() )
-        return end_quarantined();
+        return end_as_quarantined();
     pick_service();
     if ( service_ == nullptr )
         return refuse( status_unavailable, "unknown_service",
                        retry_after_no_target );
-    auto const now = shared_.scheduler.now();
+    auto const now = context_.scheduler.now();
     if ( may_outlast_stop( now ) )
         return refuse( status_unavailable, "stopping", retry_after_stop );
-    set_times();
+    set_deadlines();
     demand_.latency_objective = route_->latency_objective;
     demand_.gap_objective = route_->gap_objective;
     demand_.min_gap_objective =
@@ -191,16 +197,17 @@
     is_split_ =
         service_->engine && is_split_prompt( *service_->engine, demand_ );
     last_event_ = request_.last_event;
-    shared_.retries.note_request( demand_.service, now );
+    context_.retries.note_request( demand_.service, now );
 }
 
-/// True once the configuration is there and the request does not wait any more.
+/// Admits the request once the configuration is known. Returns true if the
+/// request no longer waits.
 auto exchange::try_admit() -> bool
 {
-    configuration_ = shared_.configuration;
+    configuration_ = context_.configuration;
     if ( !configuration_ )
         return false;
-    patience_call_.reset();
+    patience_timer_.reset();
     admit();
     if ( finished_ || try_start() )
         return true;
@@ -213,16 +220,16 @@
     return core::seconds_of( request_.received.time_since_epoch() );
 }
 
-/// When the caller leaves if nothing more comes.
-auto exchange::patience_until() const -> core::instant
+/// When the caller leaves if it receives nothing more.
+auto exchange::patience_end() const -> core::instant
 {
     auto const silent_since = events_ > 0 ? last_event_at_ : request_.received;
     return std::min( deadline_, silent_since + patience_ );
 }
 
-auto exchange::refused_at() const -> core::instant
+auto exchange::refusal_deadline() const -> core::instant
 {
-    return patience_until() - refusal_margin;
+    return patience_end() - refusal_margin;
 }
 
 auto exchange::needs_engine() const -> bool
@@ -230,38 +237,38 @@
     return service_->engine && demand_.prompt_tokens > 0;
 }
 
-/// Of plain calls nobody else needs to know, but for those that spend a
-/// target's limit.
-auto exchange::is_told_to_others() const -> bool
+/// True if other instances are told of the request's work. They need not know
+/// of plain calls, except those that count against a target's rate limit.
+auto exchange::is_announced() const -> bool
 {
-    return needs_engine() || is_asked_for_ || spends_limit_;
+    return needs_engine() || is_coordinated_ || uses_limited_target_;
 }
 
 auto exchange::refresh_demand( core::instant now ) -> void
 {
     demand_.waited = now - request_.received;
     demand_.time_left = deadline_ - now;
-    demand_.patience_left = patience_until() - now;
-    demand_.crashes = shared_.crashes.count( content_ );
+    demand_.patience_left = patience_end() - now;
+    demand_.crashes = context_.crashes.count( content_ );
     demand_.paused.clear();
-    for ( auto const& p : shared_.loads.paused( demand_.service, now ) )
+    for ( auto const& p : context_.loads.paused( demand_.service, now ) )
         demand_.paused.push_back( p.id );
     demand_.draw =
-        std::uniform_real_distribution<double>( 0, 1 )( shared_.random );
+        std::uniform_real_distribution<double>( 0, 1 )( context_.random );
 }
 
-/// For a plain call. Only who places for all knows what others send to targets
-/// with limits.
-auto exchange::choose_here( core::instant now ) -> placement_result
+/// Chooses a target for a plain call. Only the active coordinator knows what
+/// other instances send to targets with rate limits.
+auto exchange::choose_locally( core::instant now ) -> placement_result
 {
     auto demand = demand_;
     demand.only_to_probe_limits = true;
-    demand.limits = shared_.placements.is_active_coordinator()
+    demand.limits = context_.placements.is_active_coordinator()
                         ? limit_use::for_all
                         : limit_use::uncoordinated;
-    auto result = shared_.chooser.choose( demand, *service_, now );
+    auto result = context_.chooser.choose( demand, *service_, now );
     if ( result.choice && demand.limits == limit_use::uncoordinated )
-        shared_.loads.note_uncoordinated( result.choice->parts, now );
+        context_.loads.note_uncoordinated( result.choice->parts, now );
     return result;
 }
 
@@ -273,46 +280,47 @@
         return try_admit();
     if ( current_ )
         return true;
-    auto const now = shared_.scheduler.now();
+    auto const now = context_.scheduler.now();
     if ( now < not_before_ )
         return false;
     refresh_demand( now );
     if ( needs_engine() )
     {
-        ask_for_targets();
+        request_placement();
         return true;
     }
-    auto result = choose_here( now );
+    auto result = choose_locally( now );
     if ( result.choice )
     {
         stop_waiting();
-        begin( { ++shared_.last_serial, std::move( *result.choice ),
-                 shared_.self } );
+        begin( { ++context_.last_serial, std::move( *result.choice ),
+                 context_.self } );
         return true;
     }
     if ( result.reason == placement_obstacle::limited )
     {
-        // Who places prompts hands out what such targets take.
-        is_asked_for_ = true;
-        ask_for_targets();
+        // The coordinator shares out the rate limits of targets.
+        is_coordinated_ = true;
+        request_placement();
         return true;
     }
     if ( result.reason == placement_obstacle::paused )
         return wait_for_pause( now );
     if ( route_->kind == request_kind::stream )
         return false;
-    // After a try that may have run there may be no other target left.
-    turn_down( "no_targets", retry_after_no_target );
+    // An earlier attempt may have run and left no other target: give_up() then
+    // fails the request instead of refusing it.
+    give_up( "no_targets", retry_after_no_target );
     return true;
 }
 
 auto exchange::release( std::uint64_t serial, work_outcome outcome ) -> void
 {
-    shared_.loads.end_work( shared_.self, serial, shared_.scheduler.now() );
-    if ( !is_told_to_others() )
+    context_.loads.end_work( context_.self, serial, context_.scheduler.now() );
+    if ( !is_announced() )
         return;
-    shared_.placements.release( serial );
-    shared_.announcer.work_ended( serial, outcome );
+    context_.placements.release( serial );
+    context_.announcer.work_ended( serial, outcome );
 }
 
 auto exchange::on_deadline() -> void
@@ -334,7 +342,7 @@
     if ( finished_ )
         return;
     close_all();
-    shared_.counters.abandoned.add();
+    context_.counters.caller_gone.add();
     end( "caller_gone", 0 );
 }
 
@@ -346,18 +354,18 @@
     if ( current_ && current_->call && current_->call->sent() )
         may_have_run_ = true;
     close_all();
-    turn_down( std::move( reason ), retry_after_stop );
+    give_up( std::move( reason ), retry_after_stop );
 }
 
 auto exchange::is_quarantined() const -> bool
 {
-    return shared_.crashes.is_quarantined( content_ );
+    return context_.crashes.is_quarantined( content_ );
 }
 
-/// Without a time to come back: it would be refused again.
-auto exchange::end_quarantined() -> void
+/// Sends no Retry-After, since the same content would be refused again.
+auto exchange::end_as_quarantined() -> void
 {
-    turn_down( quarantined_reason, std::nullopt );
+    give_up( quarantined_reason, std::nullopt );
 }
 
 auto exchange::on_quarantined( content_id content ) -> void
@@ -368,16 +376,16 @@
     auto const runs = current_ && !current_->prefilling;
     if ( runs )
         return;
-    // The silent run is past its beginning; what is sought beside it is not.
+    // The silent attempt is past its prefill, the one that replaces it is not.
     if ( silent_ && !silent_->prefilling )
     {
-        go_back( quarantined_reason );
+        return_to_silent_target( quarantined_reason );
         return;
     }
     if ( current_ && current_->call && current_->call->sent() )
         may_have_run_ = true;
     close_all();
-    end_quarantined();
+    end_as_quarantined();
 }
 
 auto exchange::refuse( int status,
@@ -385,21 +393,22 @@
                        std::optional<core::duration> retry_after ) -> void
 {
     core::check_invariant( core::invariant::not_run_is_true, !may_have_run_,
-                           "refusal of " + request_.id.str() );
+                           "refused although it may have run: " +
+                               request_.id.str() );
     auto answer = whole_answer{ status, {}, reason + "\n" };
     answer.headers.push_back( { "Content-Type", "text/plain" } );
     if ( retry_after )
         answer.headers.push_back( retry_after_header( *retry_after ) );
-    auto const now = shared_.scheduler.now();
-    shared_.log.record( request_refused{
+    auto const now = context_.scheduler.now();
+    context_.log.record( request_refused{
         request_.id, content_, status,
         route_ != nullptr ? route_->id.str() : "", reason,
         now - request_.received, retry_after.value_or( core::duration( 0 ) ),
         configuration_ ? configuration_->version : core::revision{},
-        demand_.prompt_tokens, shared_.queue.size() } );
+        demand_.prompt_tokens, context_.queue.size() } );
     close_all();
     answer_->send_whole( std::move( answer ) );
-    shared_.counters.refused.add();
+    context_.counters.refused.add();
     end( std::move( reason ), status );
 }
 
@@ -411,14 +420,14 @@
     else
         answer_->send_whole(
             { status, { { "Content-Type", "text/plain" } }, reason + "\n" } );
-    shared_.counters.failed.add();
+    context_.counters.failed.add();
     end( std::move( reason ), status );
 }
 
-auto exchange::turn_down( std::string reason,
-                          std::optional<core::duration> retry_after ) -> void
+auto exchange::give_up( std::string reason,
+                        std::optional<core::duration> retry_after ) -> void
 {
-    if ( go_back( reason ) )
+    if ( return_to_silent_target( reason ) )
         return;
     if ( may_have_run_ )
         return fail( status_bad_gateway, std::move( reason ) );
@@ -428,19 +437,19 @@
 auto exchange::end( std::string outcome, int status ) -> void
 {
     finished_ = true;
-    deadline_call_.reset();
-    stop_looking();
-    watch_call_.reset();
-    shared_.open.erase( this );
-    shared_.log.record( request_ended{
+    deadline_timer_.reset();
+    cancel_placement();
+    silence_timer_.reset();
+    context_.open.erase( this );
+    context_.log.record( request_ended{
         request_.id, content_, route_ != nullptr ? route_->id.str() : "",
         std::move( outcome ), status, last_target_,
-        shared_.scheduler.now() - request_.received, first_event_, longest_gap_,
-        events_, targets_reached_, demand_.prompt_tokens,
+        context_.scheduler.now() - request_.received, first_event_,
+        longest_gap_, events_, targets_reached_, demand_.prompt_tokens,
         demand_.latency_objective, demand_.gap_objective,
         configuration_ ? configuration_->version : core::revision{},
-        shared_.configuration ? shared_.configuration->version
-                              : core::revision{} } );
+        context_.configuration ? context_.configuration->version
+                               : core::revision{} } );
 }
 
 }
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -14,14 +14,15 @@
 namespace pollenstream::exchange
 {
 
-/// One caller's request from its arrival to its last word: placed, sent, sent
-/// again where that is allowed, relayed. It keeps itself alive through the
-/// calls that it waits for and ends exactly once.
+/// Handles one caller's request from its arrival to the end of its answer:
+/// chooses targets, sends the request, retries it where that is allowed and
+/// relays the answer. Pending callbacks hold shared ownership of it. It ends
+/// exactly once.
 class exchange : public waiting_item,
                  public std::enable_shared_from_this<exchange>
 {
 public:
-    exchange( exchange_context& shared,
+    exchange( exchange_context& context,
               caller_request request,
               std::shared_ptr<answer_channel> answer );
     ~exchange() override;
@@ -29,12 +30,12 @@
     auto operator=( exchange const& ) -> exchange& = delete;
 
     auto start() -> void;
-    /// The caller has closed its connection.
+    /// Ends the request because the caller has closed its connection.
     auto on_caller_gone() -> void;
-    /// Ends the request now, since the process is about to end.
+    /// Ends the request at once because the process is about to end.
     auto abandon( std::string reason ) -> void;
-    /// `content` is not sent any more. Where it is this request's, ends it now,
-    /// but for a run that is past its beginning.
+    /// Ends the request if it has this content, which was just quarantined. An
+    /// attempt whose answer has begun is left to finish.
     auto on_quarantined( content_id content ) -> void;
 
     auto try_start() -> bool override;
@@ -51,44 +52,45 @@
     {
         return false;
     }
-    /// Only what waits for the configuration, or for a pause to end, waits
-    /// here: each is tried.
+    /// Always true: exchanges wait in this queue for the configuration or for
+    /// the end of a pause, not for capacity that an earlier item may take.
     [[nodiscard]] auto is_always_tried() const -> bool override
     {
         return true;
     }
 
 private:
-    class attempt;
-    friend class attempt;
-    class placement_reply;
-    friend class placement_reply;
+    class attempt_handler;
+    friend class attempt_handler;
+    class placement_handler;
+    friend class placement_handler;
 
-    /// What is open at targets for this request.
+    /// An attempt of this request that is open at a target.
     struct target_attempt
     {
         std::uint64_t serial{ 0 };
         target_ref target;
         core::address address;
         std::shared_ptr<open_attempt> call;
-        std::shared_ptr<reservation_group> memory;
+        std::shared_ptr<reservation_group> reservation;
         std::optional<answer_head> head;
-        std::string body; ///< of an answer that is passed on as a whole
+        std::string body; ///< of an answer that is not a stream
         event_splitter splitter;
         bool prefilling{ true };
         double predicted_ms{ 0 };
         core::instant sent_at;
-        core::instant heard_at;
-        core::instant watched_from; ///< silence counts from here
-        bool is_blamed{ false };    ///< for the present silence
+        core::instant last_heard_at;
+        core::instant silent_from; ///< start of the silence that is timed
+        /// The current silence has been counted as a failure of the target.
+        bool is_silence_noted{ false };
     };
 
-    /// An ask for targets that has not been answered.
+    /// A placement request that has not been answered.
     struct pending_placement
     {
         std::uint64_t serial{ 0 };
         std::unique_ptr<open_placement> open;
-        core::instant asked_at;
+        core::instant requested_at;
     };
 
     auto wait_for_configuration() -> void;
@@ -96,104 +98,109 @@
     auto admit() -> void;
     auto find_route() -> bool;
     auto pick_service() -> void;
-    auto set_times() -> void;
+    auto set_deadlines() -> void;
     [[nodiscard]] auto time_limit() const -> core::duration;
     [[nodiscard]] auto may_outlast_stop( core::instant now ) const -> bool;
     [[nodiscard]] auto needs_engine() const -> bool;
-    [[nodiscard]] auto is_told_to_others() const -> bool;
+    [[nodiscard]] auto is_announced() const -> bool;
     auto refresh_demand( core::instant now ) -> void;
-    auto choose_here( core::instant now ) -> placement_result;
-    auto ask_for_targets() -> void;
-    auto arm_end_of_pause() -> void;
+    auto choose_locally( core::instant now ) -> placement_result;
+    auto request_placement() -> void;
+    auto arm_pause_timer() -> void;
     [[nodiscard]] auto end_of_pause() const -> core::instant;
     auto wait_for_pause( core::instant now ) -> bool;
     auto on_granted( std::uint64_t serial, placement_grant grant ) -> void;
     auto on_refused( std::uint64_t serial, placement_refusal refusal ) -> void;
     auto begin( placement_grant grant ) -> void;
-    auto on_unusable( placement_grant const& grant ) -> void;
-    auto on_memory( placement_grant const& grant,
-                    std::shared_ptr<reservation_group> const& memory,
-                    core::result<void> const& status ) -> void;
+    auto on_unusable_grant( placement_grant const& grant ) -> void;
+    auto on_reservation_result(
+        placement_grant const& grant,
+        std::shared_ptr<reservation_group> const& reservation,
+        core::result<void> const& status ) -> void;
     auto add_work( placement_grant const& grant ) -> void;
     auto release( std::uint64_t serial, work_outcome outcome ) -> void;
     auto send( placement_grant const& grant,
-               std::shared_ptr<reservation_group> memory ) -> void;
-    auto directions( placement_choice const& choice,
-                     std::shared_ptr<reservation_group> const& memory ) const
-        -> target_directions;
-    [[nodiscard]] auto is_current( placement_choice const& choice ) const
+               std::shared_ptr<reservation_group> reservation ) -> void;
+    auto directions_for( placement_choice const& choice,
+                         std::shared_ptr<reservation_group> const& reservation )
+        const -> target_directions;
+    [[nodiscard]] auto is_still_valid( placement_choice const& choice ) const
         -> bool;
-    auto wait_for_room() -> void;
+    auto wait_for_capacity() -> void;
     [[nodiscard]] auto
     is_usable( std::shared_ptr<target_entry> const& target ) const -> bool;
     auto begin_waiting() -> void;
     auto stop_waiting() -> void;
-    auto on_no_memory( placement_grant const& grant, core::error const& why )
-        -> void;
+    auto on_reservation_failed( placement_grant const& grant,
+                                core::error const& why ) -> void;
 
     auto on_head( std::uint64_t serial, answer_head head ) -> void;
-    auto note_told_state( target_attempt const& from, answer_head const& head )
-        -> void;
-    auto note_told_limit( target_attempt const& from, answer_head const& head )
-        -> void;
+    auto note_reported_state( target_attempt const& from,
+                              answer_head const& head ) -> void;
+    auto note_reported_limit( target_attempt const& from,
+                              answer_head const& head ) -> void;
     auto on_body( std::uint64_t serial, std::string const& bytes ) -> void;
     auto on_end( std::uint64_t serial, attempt_end const& end ) -> void;
     auto on_complete() -> void;
     auto on_not_run() -> void;
-    auto on_broken( attempt_end const& end ) -> void;
+    auto on_broken_attempt( attempt_end const& end ) -> void;
     auto note_served() -> void;
-    auto on_own_failure() -> void;
+    auto on_error_status() -> void;
     auto relay( std::vector<stream_event> events ) -> void;
     auto relay_event( stream_event& event ) -> bool;
-    auto pass_on( std::string events ) -> void;
+    auto send_to_caller( std::string events ) -> void;
     auto note_event() -> void;
     [[nodiscard]] auto is_whole( target_attempt const& from ) const -> bool;
-    [[nodiscard]] auto is_answer( target_attempt const& from,
+    [[nodiscard]] auto can_relay( target_attempt const& from,
                                   attempt_end const& end ) const -> bool;
-    auto speaks_again( std::vector<stream_event> const& events ) -> bool;
-    [[nodiscard]] auto streams( target_attempt const& which ) const -> bool;
+    auto silent_target_resumes( std::vector<stream_event> const& events )
+        -> bool;
+    [[nodiscard]] auto is_stream( target_attempt const& which ) const -> bool;
     [[nodiscard]] auto find_attempt( std::uint64_t serial ) -> target_attempt*;
-    [[nodiscard]] auto is_silent_one( target_attempt const* which ) const
+    [[nodiscard]] auto is_silent_attempt( target_attempt const* which ) const
         -> bool
     {
         return silent_ && which == &*silent_;
     }
 
-    auto may_repeat() -> bool;
-    auto has_repeat() -> bool;
-    auto take_repeat() -> bool;
-    auto on_no_repeat( placement_grant const& grant ) -> void;
-    auto avoid( core::target_id const& target ) -> void;
-    /// Sends the request again, not to `avoided`; false where it may not be.
-    auto try_again( std::string const& why,
-                    bool may_have_run,
-                    core::target_id const& avoided ) -> bool;
-    /// Looks for another place for what the current target is silent about.
-    auto look_elsewhere() -> void;
-    /// Goes on with the silent target; false where there is none.
-    auto go_back( std::string const& why ) -> bool;
-    auto stop_looking() -> void;
-    auto on_silent_lost( attempt_end const& end ) -> void;
-    auto blame( target_attempt const& from ) -> target_ref;
-    auto tolerated_silence() const -> core::duration;
-    auto idle_silence() const -> core::duration;
-    auto arm_watch() -> void;
-    auto on_watch() -> void;
+    auto may_retry() -> bool;
+    auto has_retry_budget() -> bool;
+    auto take_retry() -> bool;
+    auto on_no_retry( placement_grant const& grant ) -> void;
+    auto exclude_target( core::target_id const& target ) -> void;
+    /// Sends the request to a target other than `excluded`. Returns false if
+    /// no retry is allowed.
+    auto retry( std::string const& why,
+                bool may_have_run,
+                core::target_id const& excluded ) -> bool;
+    /// Starts an attempt at another target beside the silent one (a hedge).
+    auto try_another_target() -> void;
+    /// Makes the silent attempt the current one again. Returns false if there
+    /// is none.
+    auto return_to_silent_target( std::string const& why ) -> bool;
+    auto cancel_placement() -> void;
+    auto on_silent_target_failed( attempt_end const& end ) -> void;
+    auto note_rejection( target_attempt const& from ) -> target_ref;
+    auto silence_timeout() const -> core::duration;
+    auto base_silence_timeout() const -> core::duration;
+    auto arm_silence_timer() -> void;
+    auto on_silence_timer() -> void;
     auto on_deadline() -> void;
-    auto on_out_of_patience() -> void;
+    auto on_patience_expired() -> void;
 
     auto note_failure( target_ref const& target ) -> void;
-    auto note_break( target_attempt const& which, attempt_end const& end )
-        -> void;
+    auto note_broken_attempt( target_attempt const& which,
+                              attempt_end const& end ) -> void;
     auto record_failure( target_attempt const& which,
                          std::string why,
                          bool may_have_run,
                          std::string decision ) -> void;
     auto note_crash( target_ref const& target, core::error const& why ) -> void;
     [[nodiscard]] auto is_quarantined() const -> bool;
-    auto end_quarantined() -> void;
-    auto ends_as_quarantined( placement_grant const& grant,
-                              std::shared_ptr<reservation_group> const& memory )
+    auto end_as_quarantined() -> void;
+    auto
+    end_if_quarantined( placement_grant const& grant,
+                        std::shared_ptr<reservation_group> const& reservation )
         -> bool;
     auto close_attempt( bool cancel, work_outcome outcome = work_outcome::none )
         -> void;
@@ -206,16 +213,16 @@
                  std::string reason,
                  std::optional<core::duration> retry_after ) -> void;
     auto fail( int status, std::string reason ) -> void;
-    /// Nothing more can be had. Goes back to a silent target, or is the last
-    /// word, which says that it has not run only where that is so.
-    auto turn_down( std::string reason,
-                    std::optional<core::duration> retry_after ) -> void;
+    /// Ends the request without a further attempt, unless a silent attempt is
+    /// open to return to. Fails it if it may have run, otherwise refuses it.
+    auto give_up( std::string reason,
+                  std::optional<core::duration> retry_after ) -> void;
     auto end( std::string outcome, int status ) -> void;
-    auto predicted_room() const -> core::duration;
-    [[nodiscard]] auto patience_until() const -> core::instant;
-    [[nodiscard]] auto refused_at() const -> core::instant;
+    auto predicted_wait() const -> core::duration;
+    [[nodiscard]] auto patience_end() const -> core::instant;
+    [[nodiscard]] auto refusal_deadline() const -> core::instant;
 
-    exchange_context& shared_;
+    exchange_context& context_;
     caller_request request_;
     std::shared_ptr<answer_channel> answer_;
     configuration_ptr configuration_;
@@ -226,41 +233,44 @@
     placement_demand demand_;
     service_settings const* service_{ nullptr };
     bool is_split_{ false };
-    bool is_suspect_{ false }; ///< as who granted its targets knows
-    /// A plain call for which who places prompts was asked.
-    bool is_asked_for_{ false };
-    bool spends_limit_{ false }; ///< a target that it was sent to names one
+    bool is_suspect_{ false }; ///< by the grant or by crashes seen here
+    /// A plain call for which the coordinator was asked for a target.
+    bool is_coordinated_{ false };
+    /// It was granted a target that names a rate limit.
+    bool uses_limited_target_{ false };
 
     core::instant deadline_;
-    core::instant not_before_;     ///< no choice of targets earlier
-    core::duration patience_{ 0 }; ///< longest silence before the caller leaves
-    std::unique_ptr<ports::scheduled_call> deadline_call_;
-    std::unique_ptr<ports::scheduled_call> patience_call_;
-    std::unique_ptr<ports::scheduled_call> watch_call_;
-    std::unique_ptr<ports::scheduled_call> pause_call_;
+    core::instant not_before_;     ///< earliest time of the next placement
+    core::duration patience_{ 0 }; ///< silence after which the caller leaves
+    std::unique_ptr<ports::scheduled_call> deadline_timer_;
+    std::unique_ptr<ports::scheduled_call> patience_timer_;
+    std::unique_ptr<ports::scheduled_call> silence_timer_;
+    std::unique_ptr<ports::scheduled_call> pause_timer_;
 
-    std::optional<pending_placement> ask_;
-    std::size_t queued_behind_{ 0 }; ///< asks that wait where this one does
-    core::duration last_ask_time_{ 0 };
-    std::optional<target_attempt> current_; ///< whose answer is passed on
-    /// It was the current one and has fallen silent. It may live: it stays open
-    /// until another one speaks, and is the current one again where it speaks
-    /// first or no other place is to be had.
+    std::optional<pending_placement> pending_placement_;
+    /// Placement requests that wait at the coordinator with this one.
+    std::size_t placement_queue_size_{ 0 };
+    core::duration last_placement_time_{ 0 };
+    std::optional<target_attempt> current_; ///< its answer is relayed
+    /// The former current attempt, whose target has fallen silent but may still
+    /// answer. It stays open until an event of another attempt arrives, and
+    /// becomes current again if it is first to send or no other target is left.
     std::optional<target_attempt> silent_;
-    std::optional<std::uint64_t> reserving_; ///< grant that waits for memory
+    /// Serial of the grant whose memory is being reserved.
+    std::optional<std::uint64_t> reserving_grant_;
     std::int64_t targets_reached_{ 0 };
     std::int64_t connects_failed_{ 0 };
     bool waiting_{ false };
-    bool may_have_run_{ false }; ///< a target may have begun on it
-    bool streaming_{ false };    ///< the head of a stream has been passed on
+    bool may_have_run_{ false }; ///< a target may have started to process it
+    bool streaming_{ false };    ///< the caller has the head of a stream
     std::optional<std::int64_t> last_event_;
     std::int64_t events_{ 0 };
     core::duration first_event_{ 0 };
     core::duration longest_gap_{ 0 };
     core::instant last_event_at_;
     core::target_id last_target_;
-    core::instant watch_due_; ///< when silence was to be looked at
-    core::duration watch_late_{ 0 };
+    core::instant silence_timer_due_;
+    core::duration silence_timer_delay_{ 0 }; ///< how late it last fired
     bool finished_{ false };
 };
 
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -14,7 +14,7 @@
 {
 
 /// Bytes that may wait for a slow caller before the stream is given up.
-constexpr auto most_unsent = std::size_t{ 1 } << 20U;
+constexpr auto max_unsent_bytes = std::size_t{ 1 } << 20U;
 constexpr auto first_failure_status = 500;
 
 auto is_success( int status ) -> bool
@@ -24,15 +24,15 @@
 
 auto out_of_order() -> attempt_end
 {
-    auto lost = attempt_end{};
-    lost.error = { core::error_code::failed, "event out of order" };
-    lost.sent = true;
-    return lost;
+    auto end = attempt_end{};
+    end.error = { core::error_code::failed, "event out of order" };
+    end.sent = true;
+    return end;
 }
 
 }
 
-auto exchange::streams( target_attempt const& which ) const -> bool
+auto exchange::is_stream( target_attempt const& which ) const -> bool
 {
     return route_->kind == request_kind::stream && which.head &&
            is_success( which.head->status );
@@ -43,17 +43,17 @@
 {
     return !is_success( from.head->status ) ||
            ( from.head->has_seal &&
-             !( streams( from ) && from.splitter.pending() > 0 ) );
+             !( is_stream( from ) && from.splitter.pending() > 0 ) );
 }
 
 /// True where the target has given an answer that can be passed on.
-auto exchange::is_answer( target_attempt const& from,
+auto exchange::can_relay( target_attempt const& from,
                           attempt_end const& end ) const -> bool
 {
     auto const& head = from.head;
     return end.complete && head && !head->wrong_target &&
            !head->proves_not_run && head->status < first_failure_status &&
-           is_whole( from ) && ( !streaming_ || streams( from ) );
+           is_whole( from ) && ( !streaming_ || is_stream( from ) );
 }
 
 auto exchange::find_attempt( std::uint64_t serial ) -> target_attempt*
@@ -69,13 +69,13 @@
     auto* const from = find_attempt( serial );
     if ( from == nullptr )
         return;
-    from->heard_at = shared_.scheduler.now();
-    from->watched_from = from->heard_at;
+    from->last_heard_at = context_.scheduler.now();
+    from->silent_from = from->last_heard_at;
     if ( head.load )
-        shared_.loads.note_reported_load( from->target, *head.load,
-                                          from->heard_at );
+        context_.loads.note_reported_load( from->target, *head.load,
+                                           from->last_heard_at );
     if ( !head.wrong_target )
-        note_told_state( *from, head );
+        note_reported_state( *from, head );
     if ( !head.proves_not_run && !head.wrong_target )
         may_have_run_ = true;
     from->head = std::move( head );
@@ -86,27 +86,28 @@
     auto* const from = find_attempt( serial );
     if ( from == nullptr )
         return;
-    if ( !streams( *from ) )
+    if ( !is_stream( *from ) )
     {
         from->body += bytes;
         return;
     }
     auto events = from->splitter.take( bytes );
-    if ( is_silent_one( from ) && !speaks_again( events ) )
+    if ( is_silent_attempt( from ) && !silent_target_resumes( events ) )
         return;
     relay( std::move( events ) );
 }
 
 /// True where the silent target goes on behind what the caller has. Half an
 /// event may be its last word, and costs the other place nothing yet.
-auto exchange::speaks_again( std::vector<stream_event> const& events ) -> bool
+auto exchange::silent_target_resumes( std::vector<stream_event> const& events )
+    -> bool
 {
     if ( events.empty() )
         return false;
     auto const& id = events.front().id;
     if ( !id || !last_event_ || *id <= *last_event_ + 1 )
-        return go_back( "it speaks again" );
-    on_silent_lost( out_of_order() );
+        return return_to_silent_target( "it speaks again" );
+    on_silent_target_failed( out_of_order() );
     return false;
 }
 
@@ -118,18 +119,18 @@
         if ( !relay_event( event ) )
         {
             // A gap in the numbers: what follows cannot be joined.
-            pass_on( std::move( out ) );
-            return on_broken( out_of_order() );
+            send_to_caller( std::move( out ) );
+            return on_broken_attempt( out_of_order() );
         }
         out += event.bytes;
     }
-    if ( answer_->unsent_bytes() > most_unsent )
+    if ( answer_->unsent_bytes() > max_unsent_bytes )
         return fail( status_gateway_timeout, "caller_does_not_read" );
-    pass_on( std::move( out ) );
+    send_to_caller( std::move( out ) );
 }
 
 /// Whole events for the caller, behind the head of the answer.
-auto exchange::pass_on( std::string events ) -> void
+auto exchange::send_to_caller( std::string events ) -> void
 {
     if ( events.empty() )
         return;
@@ -160,16 +161,16 @@
 
 auto exchange::note_event() -> void
 {
-    auto const now = shared_.scheduler.now();
-    current_->heard_at = now;
-    current_->watched_from = now;
-    current_->is_blamed = false;
+    auto const now = context_.scheduler.now();
+    current_->last_heard_at = now;
+    current_->silent_from = now;
+    current_->is_silence_noted = false;
     if ( current_->prefilling )
     {
         current_->prefilling = false;
-        shared_.loads.end_prefill( shared_.self, current_->serial, now );
-        shared_.announcer.prefill_ended( current_->serial );
-        shared_.queue.poke();
+        context_.loads.end_prefill( context_.self, current_->serial, now );
+        context_.announcer.prefill_ended( current_->serial );
+        context_.queue.poke();
     }
     if ( events_ == 0 )
         first_event_ = now - request_.received;
@@ -186,19 +187,19 @@
         return;
     if ( end.sent && !( from->head && from->head->proves_not_run ) )
         may_have_run_ = may_have_run_ || !end.complete;
-    if ( is_silent_one( from ) )
+    if ( is_silent_attempt( from ) )
     {
-        if ( !is_answer( *from, end ) )
-            return on_silent_lost( end );
-        go_back( "it answers" );
+        if ( !can_relay( *from, end ) )
+            return on_silent_target_failed( end );
+        return_to_silent_target( "it answers" );
     }
     if ( !end.complete || !current_->head )
-        return on_broken( end );
+        return on_broken_attempt( end );
     auto const& head = *current_->head;
     if ( head.wrong_target || head.proves_not_run )
         return on_not_run();
     if ( head.status >= first_failure_status )
-        return on_own_failure();
+        return on_error_status();
     on_complete();
 }
 
@@ -207,16 +208,16 @@
     auto const& head = *current_->head;
     if ( !is_whole( *current_ ) )
     {
-        auto lost = attempt_end{};
-        lost.error = { core::error_code::malformed, "answer not whole" };
-        lost.sent = true;
-        return on_broken( lost );
+        auto end = attempt_end{};
+        end.error = { core::error_code::malformed, "answer not whole" };
+        end.sent = true;
+        return on_broken_attempt( end );
     }
-    shared_.loads.note_success( current_->target );
+    context_.loads.note_success( current_->target );
     if ( is_success( head.status ) )
         note_served();
     auto const status = head.status;
-    if ( streams( *current_ ) )
+    if ( is_stream( *current_ ) )
     {
         if ( !streaming_ )
             answer_->start_stream( status, head.headers );
@@ -224,7 +225,7 @@
     }
     else if ( streaming_ )
     {
-        if ( !go_back( "resumption_refused" ) )
+        if ( !return_to_silent_target( "resumption_refused" ) )
             fail( status_bad_gateway, "resumption_refused" );
         return;
     }
@@ -235,20 +236,20 @@
     }
     close_attempt( false, work_outcome::served );
     close_silent();
-    shared_.counters.served.add();
+    context_.counters.served.add();
     end( "served", status );
 }
 
-auto exchange::on_own_failure() -> void
+auto exchange::on_error_status() -> void
 {
     note_failure( current_->target );
     auto const status = current_->head->status;
-    if ( try_again( "status " + std::to_string( status ), true,
-                    current_->target.id ) )
+    if ( retry( "status " + std::to_string( status ), true,
+                current_->target.id ) )
         return;
     if ( streaming_ )
     {
-        if ( !go_back( "status " + std::to_string( status ) ) )
+        if ( !return_to_silent_target( "status " + std::to_string( status ) ) )
             fail( status, "target_failed" );
         return;
     }
@@ -257,17 +258,17 @@
         { status, current_->head->headers, std::move( current_->body ) } );
     close_attempt( false );
     close_silent();
-    shared_.counters.failed.add();
+    context_.counters.failed.add();
     end( "target_failed", status );
 }
 
 auto exchange::on_not_run() -> void
 {
-    auto const blamed = blame( *current_ );
+    auto const at_fault = note_rejection( *current_ );
     auto const why = "not run, status " +
                      std::to_string( current_->head->status ) + ", blames " +
-                     blamed.id.str();
-    if ( try_again( why, false, blamed.id ) || go_back( why ) )
+                     at_fault.id.str();
+    if ( retry( why, false, at_fault.id ) || return_to_silent_target( why ) )
         return;
     if ( streaming_ )
         return fail( status_bad_gateway, "resumption_refused" );
@@ -277,12 +278,12 @@
     refuse( status_unavailable, "turned_away", retry_after_turned_away );
 }
 
-auto exchange::on_broken( attempt_end const& end ) -> void
+auto exchange::on_broken_attempt( attempt_end const& end ) -> void
 {
     auto const target = current_->target;
-    note_break( *current_, end );
-    if ( try_again( end.error.detail, end.sent, target.id ) ||
-         go_back( end.error.detail ) )
+    note_broken_attempt( *current_, end );
+    if ( retry( end.error.detail, end.sent, target.id ) ||
+         return_to_silent_target( end.error.detail ) )
         return;
     close_attempt( true );
     if ( may_have_run_ || streaming_ )
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -19,21 +19,21 @@
 /// Connections that could not be made do not count as targets reached, but a
 /// request does not try for ever. An answer that has begun goes on trying until
 /// its time is over, at this pause.
-constexpr auto most_failed_connects = std::int64_t{ 4 };
+constexpr auto max_failed_connects = std::int64_t{ 4 };
 constexpr auto connect_pause = core::duration( 250ms );
 /// Retry-After where no repeat is left for what has not run.
 constexpr auto retry_after_no_repeat = core::duration( 400ms );
 /// Time that has to be left for another try to be worth it.
-constexpr auto least_time_for_try = core::duration( 40ms );
+constexpr auto min_time_for_retry = core::duration( 40ms );
 
 }
 
 /// Passes a target's answer on under the number of the try that it belongs
 /// to, and keeps the exchange alive meanwhile.
-class exchange::attempt : public attempt_listener
+class exchange::attempt_handler : public attempt_listener
 {
 public:
-    attempt( std::shared_ptr<exchange> owner, std::uint64_t serial )
+    attempt_handler( std::shared_ptr<exchange> owner, std::uint64_t serial )
         : owner_( std::move( owner ) ), serial_( serial )
     {
     }
@@ -58,22 +58,23 @@
     std::uint64_t serial_;
 };
 
-auto exchange::directions( placement_choice const& choice,
-                           std::shared_ptr<reservation_group> const& memory )
-    const -> target_directions
+auto exchange::directions_for(
+    placement_choice const& choice,
+    std::shared_ptr<reservation_group> const& reservation ) const
+    -> target_directions
 {
-    auto told = target_directions{};
-    told.target = choice.targets.front()->properties.id;
-    told.time_left = deadline_ - shared_.scheduler.now();
-    told.workspace = workspace_;
-    told.last_event = last_event_;
-    auto const ticket = memory ? memory->id() : core::reservation_id{};
+    auto directions = target_directions{};
+    directions.target = choice.targets.front()->properties.id;
+    directions.time_left = deadline_ - context_.scheduler.now();
+    directions.workspace = workspace_;
+    directions.last_event = last_event_;
+    auto const id = reservation ? reservation->id() : core::reservation_id{};
     // With memory held the first target lists its own part too, in front.
-    for ( auto i = std::size_t{ memory ? 0U : 1U }; i < choice.targets.size();
-          ++i )
-        told.helpers.push_back(
-            { choice.targets[i]->properties.address, ticket } );
-    return told;
+    for ( auto i = std::size_t{ reservation ? 0U : 1U };
+          i < choice.targets.size(); ++i )
+        directions.helpers.push_back(
+            { choice.targets[i]->properties.address, id } );
+    return directions;
 }
 
 /// Counts the work on the board and tells those who place prompts of it.
@@ -87,32 +88,34 @@
     work.prefilling = route_->kind == request_kind::stream;
     work.is_suspect = is_suspect_;
     work.reserves = grant.choice.needs_reservation;
-    shared_.loads.add_work( shared_.self, work, shared_.scheduler.now() );
+    context_.loads.add_work( context_.self, work, context_.scheduler.now() );
     for ( auto const& target : grant.choice.targets )
-        spends_limit_ = spends_limit_ || target->limit.per_second();
-    if ( is_told_to_others() )
-        shared_.announcer.work_began( work );
+        uses_limited_target_ =
+            uses_limited_target_ || target->limit.per_second();
+    if ( is_announced() )
+        context_.announcer.work_began( work );
     else
-        shared_.loads.note_unreported( work.parts, shared_.scheduler.now() );
+        context_.loads.note_unreported( work.parts, context_.scheduler.now() );
 }
 
 auto exchange::send( placement_grant const& grant,
-                     std::shared_ptr<reservation_group> memory ) -> void
+                     std::shared_ptr<reservation_group> reservation ) -> void
 {
-    if ( !take_repeat() )
+    if ( !take_retry() )
     {
-        if ( memory )
-            memory->release();
-        return on_no_repeat( grant );
+        if ( reservation )
+            reservation->release();
+        return on_no_retry( grant );
     }
-    auto const now = shared_.scheduler.now();
+    auto const now = context_.scheduler.now();
     auto const& choice = grant.choice;
     auto const& first = *choice.targets.front();
-    core::check_invariant(
-        core::invariant::leaving_gets_no_work, first.takes_work() || memory,
-        "target " + first.properties.id.str() + " is leaving" );
+    core::check_invariant( core::invariant::leaving_gets_no_work,
+                           first.takes_work() || reservation,
+                           "target " + first.properties.id.str() +
+                               " is leaving" );
     core::check_invariant( core::invariant::pause_holds,
-                           !shared_.loads.is_paused( first.ref(), now ),
+                           !context_.loads.is_paused( first.ref(), now ),
                            "target " + first.properties.id.str() +
                                " is paused" );
     core::check_invariant( core::invariant::quarantine_holds, !is_quarantined(),
@@ -122,23 +125,23 @@
                            route_->is_idempotent() || !may_have_run_,
                            "attempt " + request_.id.str() + " sent again" );
     auto const serial = grant.serial;
-    shared_.log.record( request_placed{
+    context_.log.record( request_placed{
         request_.id, content_, route_->id.str(), first.properties.id,
         choice.parts, targets_reached_, now - request_.received,
         deadline_ - now, choice.first_event_ms, demand_.prompt_tokens,
         choice.basis, configuration_->version, grant.decided_by,
-        last_ask_time_ } );
+        last_placement_time_ } );
 
     current_ = target_attempt{};
     auto& opened = *current_;
     opened.serial = serial;
     opened.target = first.ref();
     opened.address = first.properties.address;
-    opened.memory = std::move( memory );
+    opened.reservation = std::move( reservation );
     opened.predicted_ms = choice.first_event_ms;
     opened.sent_at = now;
-    opened.heard_at = now;
-    opened.watched_from = now;
+    opened.last_heard_at = now;
+    opened.silent_from = now;
     last_target_ = first.properties.id;
     auto out = outgoing_request{};
     out.id = request_.id;
@@ -146,58 +149,58 @@
     out.lifetime = first.properties.lifetime;
     out.address = first.properties.address;
     out.is_get = request_.method == "GET";
-    out.text = std::make_shared<std::string const>( shared_.encoder.encode(
-        request_, directions( choice, opened.memory ) ) );
-    auto call = shared_.targets.send(
+    out.text = std::make_shared<std::string const>( context_.encoder.encode(
+        request_, directions_for( choice, opened.reservation ) ) );
+    auto call = context_.targets.send(
         std::move( out ),
-        std::make_shared<attempt>( shared_from_this(), serial ) );
+        std::make_shared<attempt_handler>( shared_from_this(), serial ) );
     if ( current_ && current_->serial == serial )
         current_->call = std::move( call );
-    arm_watch();
+    arm_silence_timer();
 }
 
-auto exchange::may_repeat() -> bool
+auto exchange::may_retry() -> bool
 {
     if ( may_have_run_ && !route_->is_idempotent() )
         return false;
     if ( is_quarantined() )
         return false;
-    auto const now = shared_.scheduler.now();
+    auto const now = context_.scheduler.now();
     auto const connects_left =
-        streaming_ || connects_failed_ < most_failed_connects;
+        streaming_ || connects_failed_ < max_failed_connects;
     return targets_reached_ < route_->max_targets && connects_left &&
-           deadline_ - now > least_time_for_try;
+           deadline_ - now > min_time_for_retry;
 }
 
 /// True where a repeat is left for now. It is taken when it is sent: what waits
 /// for room takes nothing from others.
-auto exchange::has_repeat() -> bool
+auto exchange::has_retry_budget() -> bool
 {
     return targets_reached_ == 0 ||
-           shared_.retries.has( demand_.service, shared_.scheduler.now() );
+           context_.retries.has( demand_.service, context_.scheduler.now() );
 }
 
-auto exchange::take_repeat() -> bool
+auto exchange::take_retry() -> bool
 {
     if ( targets_reached_ == 0 )
         return true;
-    if ( !may_repeat() ||
-         !shared_.retries.take( demand_.service, shared_.scheduler.now() ) )
+    if ( !may_retry() ||
+         !context_.retries.take( demand_.service, context_.scheduler.now() ) )
         return false;
-    shared_.counters.repeats.add();
+    context_.counters.retries.add();
     if ( streaming_ )
-        shared_.counters.resumed.add();
+        context_.counters.resumed.add();
     return true;
 }
 
 /// The place came too late, or others have used up the budget meanwhile.
-auto exchange::on_no_repeat( placement_grant const& grant ) -> void
+auto exchange::on_no_retry( placement_grant const& grant ) -> void
 {
     release( grant.serial, work_outcome::none );
-    turn_down( "no_repeat_left", retry_after_no_repeat );
+    give_up( "no_repeat_left", retry_after_no_repeat );
 }
 
-auto exchange::avoid( core::target_id const& target ) -> void
+auto exchange::exclude_target( core::target_id const& target ) -> void
 {
     auto& tried = demand_.tried;
     if ( std::find( tried.begin(), tried.end(), target ) == tried.end() )
@@ -209,34 +212,34 @@
                                bool may_have_run,
                                std::string decision ) -> void
 {
-    shared_.log.record( attempt_failed{
+    context_.log.record( attempt_failed{
         request_.id, content_, which.target.id, std::move( why ), may_have_run,
-        std::move( decision ), shared_.scheduler.now() - which.heard_at,
-        events_, std::exchange( watch_late_, {} ) } );
+        std::move( decision ), context_.scheduler.now() - which.last_heard_at,
+        events_, std::exchange( silence_timer_delay_, {} ) } );
 }
 
-auto exchange::try_again( std::string const& why,
-                          bool may_have_run,
-                          core::target_id const& avoided ) -> bool
+auto exchange::retry( std::string const& why,
+                      bool may_have_run,
+                      core::target_id const& excluded ) -> bool
 {
-    auto const again = may_repeat() && has_repeat();
+    auto const again = may_retry() && has_retry_budget();
     record_failure( *current_, why, may_have_run,
                     again ? "send_again" : "give_up" );
     if ( !again )
         return false;
-    avoid( avoided );
+    exclude_target( excluded );
     close_attempt( true );
-    if ( connects_failed_ >= most_failed_connects )
-        not_before_ = shared_.scheduler.now() + connect_pause;
+    if ( connects_failed_ >= max_failed_connects )
+        not_before_ = context_.scheduler.now() + connect_pause;
     if ( !try_start() )
-        wait_for_room();
+        wait_for_capacity();
     return true;
 }
 
 auto exchange::close_attempt( bool cancel, work_outcome outcome ) -> void
 {
     if ( current_ )
-        watch_call_.reset();
+        silence_timer_.reset();
     close( current_, cancel, outcome );
 }
 
@@ -257,14 +260,14 @@
 {
     if ( !which )
         return;
-    auto gone = std::move( *which );
+    auto closed = std::move( *which );
     which.reset();
-    if ( cancel && gone.call )
-        gone.call->cancel();
-    if ( gone.memory )
-        gone.memory->release();
-    release( gone.serial, outcome );
-    shared_.queue.poke();
+    if ( cancel && closed.call )
+        closed.call->cancel();
+    if ( closed.reservation )
+        closed.reservation->release();
+    release( closed.serial, outcome );
+    context_.queue.poke();
 }
 
 }
--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -21,127 +21,129 @@
 constexpr auto first_event_slack = core::duration( 900ms );
 constexpr auto first_event_factor = 2.5;
 /// Silence between events: at least this, or this many tolerated pauses.
-constexpr auto shortest_silence = core::duration( 1s );
+constexpr auto min_event_silence = core::duration( 1s );
 constexpr auto silence_per_gap = 4;
 /// Longest time for which an engine that reads is expected to be silent: longer
 /// parts are not given to one that writes.
-constexpr auto longest_reading = core::duration( 2s );
+constexpr auto max_prefill_wait = core::duration( 2s );
 /// Silence of a call that may be repeated: at least this, or this many times
 /// its objective. Calls of the first deployments take 220 ms at most.
-constexpr auto shortest_call_silence = core::duration( 250ms );
+constexpr auto min_call_silence = core::duration( 250ms );
 constexpr auto call_silence_per_latency = 2;
 
 }
 
-auto exchange::look_elsewhere() -> void
+auto exchange::try_another_target() -> void
 {
     may_have_run_ = true;
-    if ( !std::exchange( current_->is_blamed, true ) )
+    if ( !std::exchange( current_->is_silence_noted, true ) )
         note_failure( current_->target );
-    auto const again = may_repeat() && has_repeat();
+    auto const again = may_retry() && has_retry_budget();
     record_failure( *current_, "silent", true,
                     again ? "look_elsewhere" : "wait" );
     if ( !again )
     {
-        current_->watched_from = shared_.scheduler.now();
-        return arm_watch();
+        current_->silent_from = context_.scheduler.now();
+        return arm_silence_timer();
     }
-    avoid( current_->target.id );
+    exclude_target( current_->target.id );
     silent_ = std::exchange( current_, std::nullopt );
     if ( !try_start() )
-        wait_for_room();
+        wait_for_capacity();
 }
 
-auto exchange::go_back( std::string const& why ) -> bool
+auto exchange::return_to_silent_target( std::string const& why ) -> bool
 {
     if ( !silent_ )
         return false;
     record_failure( *silent_, why, true, "go_back" );
     close_attempt( true );
-    stop_looking();
+    cancel_placement();
     current_ = std::exchange( silent_, std::nullopt );
-    current_->watched_from = shared_.scheduler.now();
-    arm_watch();
+    current_->silent_from = context_.scheduler.now();
+    arm_silence_timer();
     return true;
 }
 
 /// The silent target has ended or failed after all. What is looked for or has
 /// been found meanwhile goes on without it.
-auto exchange::on_silent_lost( attempt_end const& end ) -> void
+auto exchange::on_silent_target_failed( attempt_end const& end ) -> void
 {
     auto const& head = silent_->head;
     if ( !end.complete || !head )
-        note_break( *silent_, end );
+        note_broken_attempt( *silent_, end );
     else if ( head->wrong_target || head->proves_not_run )
-        blame( *silent_ );
+        note_rejection( *silent_ );
     else
         note_failure( silent_->target );
     record_failure( *silent_,
                     end.complete ? "failed while silent" : end.error.detail,
                     true, "goes_on_elsewhere" );
     close_silent();
-    if ( shared_.scheduler.now() >= refused_at() )
-        on_out_of_patience();
+    if ( context_.scheduler.now() >= refusal_deadline() )
+        on_patience_expired();
 }
 
 /// Silence that is not put down to the target yet. An engine is silent while it
 /// reads what the board knows of: that is no failure, and the request would
 /// only be read a second time elsewhere.
-auto exchange::tolerated_silence() const -> core::duration
+auto exchange::silence_timeout() const -> core::duration
 {
-    auto const at = shared_.loads.find_lifetime( current_->target );
-    auto const reads_until = at ? at->load.prefill_until : core::instant{};
-    auto const reading = std::clamp( reads_until - current_->watched_from,
-                                     core::duration( 0 ), longest_reading );
-    return idle_silence() + reading;
+    auto const target = context_.loads.find_lifetime( current_->target );
+    auto const prefill_until =
+        target ? target->load.prefill_until : core::instant{};
+    auto const remaining_prefill =
+        std::clamp( prefill_until - current_->silent_from, core::duration( 0 ),
+                    max_prefill_wait );
+    return base_silence_timeout() + remaining_prefill;
 }
 
-auto exchange::idle_silence() const -> core::duration
+auto exchange::base_silence_timeout() const -> core::duration
 {
     if ( route_->kind == request_kind::safe )
-        return std::max( shortest_call_silence,
+        return std::max( min_call_silence,
                          route_->latency_objective * call_silence_per_latency );
     if ( !current_->prefilling )
-        return std::max( shortest_silence,
+        return std::max( min_event_silence,
                          route_->gap_objective * silence_per_gap );
     return std::max( first_event_slack, route_->latency_objective ) +
            core::duration_of( current_->predicted_ms * first_event_factor /
                               1'000 );
 }
 
-auto exchange::arm_watch() -> void
+auto exchange::arm_silence_timer() -> void
 {
     if ( !current_ || route_->kind == request_kind::unsafe )
         return;
-    auto const now = shared_.scheduler.now();
-    watch_due_ = std::max( now + core::duration( 1ms ),
-                           current_->watched_from + tolerated_silence() );
-    watch_call_ = shared_.scheduler.call_after( watch_due_ - now,
-                                                [this]
-                                                {
-                                                    on_watch();
-                                                } );
+    auto const now = context_.scheduler.now();
+    silence_timer_due_ = std::max( now + core::duration( 1ms ),
+                                   current_->silent_from + silence_timeout() );
+    silence_timer_ = context_.scheduler.call_after( silence_timer_due_ - now,
+                                                    [this]
+                                                    {
+                                                        on_silence_timer();
+                                                    } );
 }
 
-auto exchange::on_watch() -> void
+auto exchange::on_silence_timer() -> void
 {
-    auto const done = std::move( watch_call_ );
+    auto const fired_timer = std::move( silence_timer_ );
     if ( finished_ || !current_ )
         return;
     auto const keep = shared_from_this();
-    auto const now = shared_.scheduler.now();
-    auto const since = now - current_->watched_from;
-    watch_late_ = now - watch_due_;
-    if ( route_->kind == request_kind::stream && since < tolerated_silence() )
-        return arm_watch();
+    auto const now = context_.scheduler.now();
+    auto const since = now - current_->silent_from;
+    silence_timer_delay_ = now - silence_timer_due_;
+    if ( route_->kind == request_kind::stream && since < silence_timeout() )
+        return arm_silence_timer();
     // Only worth a look where another target may be reached.
     if ( !route_->is_idempotent() || targets_reached_ >= route_->max_targets )
         return;
     if ( !silent_ )
-        return look_elsewhere();
+        return try_another_target();
     // Two are open and say nothing. A third would take the place of one.
-    current_->watched_from = now;
-    arm_watch();
+    current_->silent_from = now;
+    arm_silence_timer();
 }
 
 }
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -25,10 +25,10 @@
 }
 
 /// Passes on what becomes of one ask, and keeps the exchange alive meanwhile.
-class exchange::placement_reply : public placement_listener
+class exchange::placement_handler : public placement_listener
 {
 public:
-    placement_reply( std::shared_ptr<exchange> owner, std::uint64_t serial )
+    placement_handler( std::shared_ptr<exchange> owner, std::uint64_t serial )
         : owner_( std::move( owner ) ), serial_( serial )
     {
     }
@@ -44,7 +44,7 @@
     }
     auto on_queued( std::size_t waiting ) -> void override
     {
-        owner_->queued_behind_ = waiting;
+        owner_->placement_queue_size_ = waiting;
     }
 
 private:
@@ -52,59 +52,60 @@
     std::uint64_t serial_;
 };
 
-auto exchange::ask_for_targets() -> void
+auto exchange::request_placement() -> void
 {
     begin_waiting();
-    auto const serial = ++shared_.last_serial;
-    ask_ = pending_placement{ serial, nullptr, shared_.scheduler.now() };
-    auto what = placement_request{};
-    what.requester = shared_.self;
-    what.serial = serial;
-    what.attempt = request_.id;
-    what.content = content_;
-    for ( auto const& run : shared_.crashes.crashes_of( content_ ) )
-        what.crashed_at.push_back( run.target );
-    what.demand = demand_;
-    what.priority = priority_;
-    what.may_be_refused = !may_have_run_;
-    auto open = shared_.placements.request(
-        std::move( what ),
-        std::make_shared<placement_reply>( shared_from_this(), serial ) );
-    if ( !ask_ || ask_->serial != serial )
+    auto const serial = ++context_.last_serial;
+    pending_placement_ =
+        pending_placement{ serial, nullptr, context_.scheduler.now() };
+    auto request = placement_request{};
+    request.requester = context_.self;
+    request.serial = serial;
+    request.attempt = request_.id;
+    request.content = content_;
+    for ( auto const& run : context_.crashes.crashes_of( content_ ) )
+        request.crashed_at.push_back( run.target );
+    request.demand = demand_;
+    request.priority = priority_;
+    request.may_be_refused = !may_have_run_;
+    auto open = context_.placements.request(
+        std::move( request ),
+        std::make_shared<placement_handler>( shared_from_this(), serial ) );
+    if ( !pending_placement_ || pending_placement_->serial != serial )
         return;
-    ask_->open = std::move( open );
-    arm_end_of_pause();
+    pending_placement_->open = std::move( open );
+    arm_pause_timer();
 }
 
 /// Who places prompts does not know of this instance's pauses and leaves out
 /// what it was told with the ask: asked anew, it takes the target in again.
-auto exchange::arm_end_of_pause() -> void
+auto exchange::arm_pause_timer() -> void
 {
     if ( demand_.paused.empty() )
         return;
-    pause_call_ =
-        shared_.scheduler.call_after( end_of_pause() - shared_.scheduler.now(),
-                                      [this]
-                                      {
-                                          auto const keep = shared_from_this();
-                                          if ( finished_ || !ask_ )
-                                              return;
-                                          stop_waiting();
-                                          if ( !try_start() )
-                                              wait_for_room();
-                                      } );
+    pause_timer_ = context_.scheduler.call_after(
+        end_of_pause() - context_.scheduler.now(),
+        [this]
+        {
+            auto const keep = shared_from_this();
+            if ( finished_ || !pending_placement_ )
+                return;
+            stop_waiting();
+            if ( !try_start() )
+                wait_for_capacity();
+        } );
 }
 
 /// When the first target that this request has not tried may be sent to again.
 auto exchange::end_of_pause() const -> core::instant
 {
     auto const& tried = demand_.tried;
-    auto first = core::instant::max();
+    auto earliest = core::instant::max();
     for ( auto const& p :
-          shared_.loads.paused( demand_.service, shared_.scheduler.now() ) )
+          context_.loads.paused( demand_.service, context_.scheduler.now() ) )
         if ( std::find( tried.begin(), tried.end(), p.id ) == tried.end() )
-            first = std::min( first, p.until );
-    return first;
+            earliest = std::min( earliest, p.until );
+    return earliest;
 }
 
 /// All targets want nothing from this instance now. Returns false where the
@@ -117,7 +118,7 @@
         not_before_ = until;
         return false;
     }
-    turn_down( "targets_paused", until - now );
+    give_up( "targets_paused", until - now );
     return true;
 }
 
@@ -125,14 +126,16 @@
     -> bool
 {
     return target && target->takes_work() &&
-           !shared_.loads.is_paused( target->ref(), shared_.scheduler.now() );
+           !context_.loads.is_paused( target->ref(), context_.scheduler.now() );
 }
 
 auto exchange::on_granted( std::uint64_t serial, placement_grant grant ) -> void
 {
-    if ( finished_ || !ask_ || ask_->serial != serial )
+    if ( finished_ || !pending_placement_ ||
+         pending_placement_->serial != serial )
         return release( grant.serial, work_outcome::none );
-    last_ask_time_ = shared_.scheduler.now() - ask_->asked_at;
+    last_placement_time_ =
+        context_.scheduler.now() - pending_placement_->requested_at;
     stop_waiting();
     auto const usable =
         std::all_of( grant.choice.targets.begin(), grant.choice.targets.end(),
@@ -143,26 +146,26 @@
     if ( usable )
         begin( std::move( grant ) );
     else
-        on_unusable( grant );
+        on_unusable_grant( grant );
 }
 
 /// True where the content has been quarantined since the grant was asked for.
-auto exchange::ends_as_quarantined(
+auto exchange::end_if_quarantined(
     placement_grant const& grant,
-    std::shared_ptr<reservation_group> const& memory ) -> bool
+    std::shared_ptr<reservation_group> const& reservation ) -> bool
 {
     if ( !is_quarantined() )
         return false;
     release( grant.serial, work_outcome::none );
-    if ( memory )
-        memory->release();
-    end_quarantined();
+    if ( reservation )
+        reservation->release();
+    end_as_quarantined();
     return true;
 }
 
 auto exchange::begin( placement_grant grant ) -> void
 {
-    if ( ends_as_quarantined( grant, nullptr ) )
+    if ( end_if_quarantined( grant, nullptr ) )
         return;
     is_suspect_ = grant.is_suspect || demand_.crashes > 0;
     // At once, so that what is told of all open work has it.
@@ -176,133 +179,135 @@
                             choice.targets[i]->properties.address,
                             choice.parts[i].memory_tokens } );
     auto const id = core::reservation_id(
-        shared_.self.str() + "." + std::to_string( ++shared_.last_serial ) );
-    auto const longest = deadline_ - shared_.scheduler.now() + 500ms;
-    auto memory = std::make_shared<reservation_group>(
-        shared_.reservations, shared_.scheduler, id, std::move( places ),
-        longest );
-    reserving_ = grant.serial;
-    memory->start(
-        [self = shared_from_this(), memory,
+        context_.self.str() + "." + std::to_string( ++context_.last_serial ) );
+    auto const max_hold = deadline_ - context_.scheduler.now() + 500ms;
+    auto reservation = std::make_shared<reservation_group>(
+        context_.reservations, context_.scheduler, id, std::move( places ),
+        max_hold );
+    reserving_grant_ = grant.serial;
+    reservation->start(
+        [self = shared_from_this(), reservation,
          grant = std::move( grant )]( auto status )
         {
-            self->on_memory( grant, memory, status );
+            self->on_reservation_result( grant, reservation, status );
         } );
 }
 
-auto exchange::on_memory( placement_grant const& grant,
-                          std::shared_ptr<reservation_group> const& memory,
-                          core::result<void> const& status ) -> void
+auto exchange::on_reservation_result(
+    placement_grant const& grant,
+    std::shared_ptr<reservation_group> const& reservation,
+    core::result<void> const& status ) -> void
 {
-    if ( reserving_ != grant.serial )
+    if ( reserving_grant_ != grant.serial )
     {
         // It has ended since, or its silent target has spoken.
         release( grant.serial, work_outcome::none );
-        return memory->release();
+        return reservation->release();
     }
-    reserving_.reset();
-    if ( ends_as_quarantined( grant, memory ) )
+    reserving_grant_.reset();
+    if ( end_if_quarantined( grant, reservation ) )
         return;
     if ( status.has_error() )
-        return on_no_memory( grant, status.error() );
-    if ( is_current( grant.choice ) )
-        return send( grant, memory );
-    memory->release();
-    on_no_memory( grant,
-                  { core::error_code::expired, "target restarted or paused" } );
+        return on_reservation_failed( grant, status.error() );
+    if ( is_still_valid( grant.choice ) )
+        return send( grant, reservation );
+    reservation->release();
+    on_reservation_failed(
+        grant, { core::error_code::expired, "target restarted or paused" } );
 }
 
 /// False where a target of the choice has started again since, and holds none
 /// of the memory that was reserved, or wants nothing from this instance now.
-auto exchange::is_current( placement_choice const& choice ) const -> bool
+auto exchange::is_still_valid( placement_choice const& choice ) const -> bool
 {
-    auto const now = shared_.scheduler.now();
+    auto const now = context_.scheduler.now();
     return std::all_of( choice.targets.begin(), choice.targets.end(),
                         [this, now]( auto const& t )
                         {
-                            return shared_.loads.find_lifetime( t->ref() ) ==
+                            return context_.loads.find_lifetime( t->ref() ) ==
                                        t &&
-                                   !shared_.loads.is_paused( t->ref(), now );
+                                   !context_.loads.is_paused( t->ref(), now );
                         } );
 }
 
 /// The targets hold less than the board says; others may have reserved at the
 /// same time. A pause that is spread keeps them from meeting again.
-auto exchange::on_no_memory( placement_grant const& grant,
-                             core::error const& why ) -> void
+auto exchange::on_reservation_failed( placement_grant const& grant,
+                                      core::error const& why ) -> void
 {
-    shared_.log.record( attempt_failed{
+    context_.log.record( attempt_failed{
         request_.id, content_, grant.choice.targets.front()->properties.id,
         "reservation: " + why.detail, false, "wait", core::duration( 0 ),
         events_, core::duration( 0 ) } );
     release( grant.serial, work_outcome::none );
     auto const spread = std::uniform_int_distribution<std::int64_t>(
-        0, reservation_pause.count() )( shared_.random );
+        0, reservation_pause.count() )( context_.random );
     not_before_ =
-        shared_.scheduler.now() + reservation_pause + core::duration( spread );
-    wait_for_room();
+        context_.scheduler.now() + reservation_pause + core::duration( spread );
+    wait_for_capacity();
 }
 
 /// A target that was granted may have begun to leave, or its entry may not be
 /// known here yet.
-auto exchange::on_unusable( placement_grant const& grant ) -> void
+auto exchange::on_unusable_grant( placement_grant const& grant ) -> void
 {
     for ( auto i = std::size_t{ 0 }; i < grant.choice.targets.size(); ++i )
         if ( auto const& t = grant.choice.targets[i]; !t || !t->takes_work() )
             demand_.tried.push_back( grant.choice.parts[i].target );
     release( grant.serial, work_outcome::none );
-    not_before_ = shared_.scheduler.now() + registry_pause;
-    wait_for_room();
+    not_before_ = context_.scheduler.now() + registry_pause;
+    wait_for_capacity();
 }
 
 auto exchange::on_refused( std::uint64_t serial, placement_refusal refusal )
     -> void
 {
-    if ( finished_ || !ask_ || ask_->serial != serial )
+    if ( finished_ || !pending_placement_ ||
+         pending_placement_->serial != serial )
         return;
     stop_waiting();
-    auto const comes_back = refusal.retry_after > core::duration( 0 );
-    turn_down( std::move( refusal.reason ),
-               comes_back ? std::optional( refusal.retry_after )
-                          : std::nullopt );
+    auto const may_come_back = refusal.retry_after > core::duration( 0 );
+    give_up( std::move( refusal.reason ),
+             may_come_back ? std::optional( refusal.retry_after )
+                           : std::nullopt );
 }
 
 auto exchange::stop_waiting() -> void
 {
-    patience_call_.reset();
-    pause_call_.reset();
+    patience_timer_.reset();
+    pause_timer_.reset();
     waiting_ = false;
     // Withdraws what was asked and not answered.
-    ask_.reset();
+    pending_placement_.reset();
 }
 
 /// Gives back what was asked for or found and is not needed any more.
-auto exchange::stop_looking() -> void
+auto exchange::cancel_placement() -> void
 {
     stop_waiting();
-    shared_.queue.remove( this );
-    reserving_.reset();
+    context_.queue.remove( this );
+    reserving_grant_.reset();
 }
 
-auto exchange::wait_for_room() -> void
+auto exchange::wait_for_capacity() -> void
 {
-    shared_.queue.add( shared_from_this() );
+    context_.queue.add( shared_from_this() );
     begin_waiting();
 }
 
 auto exchange::begin_waiting() -> void
 {
     waiting_ = true;
-    auto const until = refused_at();
-    patience_call_ =
-        shared_.scheduler.call_after( until - shared_.scheduler.now(),
-                                      [this]
-                                      {
-                                          on_out_of_patience();
-                                      } );
+    auto const until = refusal_deadline();
+    patience_timer_ =
+        context_.scheduler.call_after( until - context_.scheduler.now(),
+                                       [this]
+                                       {
+                                           on_patience_expired();
+                                       } );
 }
 
-auto exchange::on_out_of_patience() -> void
+auto exchange::on_patience_expired() -> void
 {
     auto const keep = shared_from_this();
     // The caller who has a part of the answer, or whose target may still speak,
@@ -311,15 +316,16 @@
         return;
     if ( may_have_run_ )
         return fail( status_bad_gateway, "no_room_for_repeat" );
-    refuse( status_unavailable, "no_room", predicted_room() );
+    refuse( status_unavailable, "no_room", predicted_wait() );
 }
 
-auto exchange::predicted_room() const -> core::duration
+auto exchange::predicted_wait() const -> core::duration
 {
-    auto const reading =
-        is_split_ ? shared_.chooser.shortest_prefill( demand_, *service_ )
+    auto const shortest_prefill =
+        is_split_ ? context_.chooser.shortest_prefill( demand_, *service_ )
                   : core::duration( 0 );
-    return pause_until_room( queued_behind_, reading, shared_.random );
+    return retry_after_no_capacity( placement_queue_size_, shortest_prefill,
+                                    context_.random );
 }
 
 }
--- a/src/pollenstream/exchange/own_answers.hpp
+++ b/src/pollenstream/exchange/own_answers.hpp
@@ -32,9 +32,9 @@
 /// later the more others wait, and for a wide prompt not before those that were
 /// before it are read. `shortest_prefill` is its own at best, zero for others.
 /// Those who are refused together come back spread.
-auto pause_until_room( std::size_t waiting,
-                       core::duration shortest_prefill,
-                       std::minstd_rand& random ) -> core::duration;
+auto retry_after_no_capacity( std::size_t waiting,
+                              core::duration shortest_prefill,
+                              std::minstd_rand& random ) -> core::duration;
 
 }
 
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -289,7 +289,7 @@
 auto placement_coordinator::queued_prompt::predicted_room(
     service_settings const& settings ) const -> core::duration
 {
-    return pause_until_room(
+    return retry_after_no_capacity(
         owner_.waiting_.size(),
         owner_.chooser_.shortest_prefill( request.demand, settings ),
         owner_.random_ );
--- a/src/pollenstream/observation/event_metrics.cpp
+++ b/src/pollenstream/observation/event_metrics.cpp
@@ -61,8 +61,8 @@
     ++placed_;
     parts_ += e.parts.size();
     queued_[e.route].add( e.waited );
-    if ( e.asked_for > core::duration( 0 ) )
-        asked_[e.route].add( e.asked_for );
+    if ( e.placement_time > core::duration( 0 ) )
+        asked_[e.route].add( e.placement_time );
 }
 
 auto event_metrics::count( exchange::attempt_failed const& e ) -> void
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -355,7 +355,7 @@
     s.at( 1 ).lose( false );
     s.grant( "m3" );
     REQUIRE( s.f.targets.all.size() == 3 );
-    CHECK( s.f.context.counters.repeats.value() == 2 );
+    CHECK( s.f.context.counters.retries.value() == 2 );
 }
 
 TEST_CASE( "one silence counts as one failure of its target",
