--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <utility>
 
-// The part of an exchange's life in which its targets answer: what is passed on
-// to the caller, and what an answer's end means.
+// Member functions of exchange that process the answers of targets: they relay
+// events to the caller and decide what follows from the end of an answer.
 
 namespace pollenstream::exchange
 {
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Bytes that may wait for a slow caller before the stream is given up.
+/// Unsent bytes to a slow caller above which its stream is aborted.
 constexpr auto max_unsent_bytes = std::size_t{ 1 } << 20U;
 constexpr auto first_failure_status = 500;
 
@@ -24,10 +24,10 @@
 
 auto out_of_order() -> attempt_end
 {
-    auto end = attempt_end{};
-    end.error = { core::error_code::failed, "event out of order" };
-    end.sent = true;
-    return end;
+    auto failure = attempt_end{};
+    failure.error = { core::error_code::failed, "event out of order" };
+    failure.sent = true;
+    return failure;
 }
 
 }
@@ -38,7 +38,8 @@
            is_success( which.head->status );
 }
 
-/// True where a success has its digest and no half event at its end.
+/// True for a success that carries the target's digest and, if it is a stream,
+/// ends with a complete event. Answers with other statuses need neither.
 auto exchange::is_whole( target_attempt const& from ) const -> bool
 {
     return !is_success( from.head->status ) ||
@@ -46,7 +47,7 @@
              !( is_stream( from ) && from.splitter.pending() > 0 ) );
 }
 
-/// True where the target has given an answer that can be passed on.
+/// True if the target's answer is complete and can be relayed to the caller.
 auto exchange::can_relay( target_attempt const& from,
                           attempt_end const& end ) const -> bool
 {
@@ -97,8 +98,9 @@
     relay( std::move( events ) );
 }
 
-/// True where the silent target goes on behind what the caller has. Half an
-/// event may be its last word, and costs the other place nothing yet.
+/// Returns to the silent target if its events continue or overlap what the
+/// caller has. Returns false if they do not, or if none is complete: nothing
+/// more may follow part of an event, so it does not end the other attempt.
 auto exchange::silent_target_resumes( std::vector<stream_event> const& events )
     -> bool
 {
@@ -106,7 +108,7 @@
         return false;
     auto const& id = events.front().id;
     if ( !id || !last_event_ || *id <= *last_event_ + 1 )
-        return return_to_silent_target( "it speaks again" );
+        return return_to_silent_target( "the silent target sent events again" );
     on_silent_target_failed( out_of_order() );
     return false;
 }
@@ -118,7 +120,7 @@
     {
         if ( !relay_event( event ) )
         {
-            // A gap in the numbers: what follows cannot be joined.
+            // Event ids are missing, so later events cannot be relayed.
             send_to_caller( std::move( out ) );
             return on_broken_attempt( out_of_order() );
         }
@@ -129,7 +131,8 @@
     send_to_caller( std::move( out ) );
 }
 
-/// Whole events for the caller, behind the head of the answer.
+/// Sends complete events to the caller, after the head of the answer if this is
+/// the first time. The other attempt, if one is still open, is closed.
 auto exchange::send_to_caller( std::string events ) -> void
 {
     if ( events.empty() )
@@ -141,8 +144,8 @@
     answer_->send_piece( std::move( events ) );
 }
 
-/// Takes one event into account; an event that the caller has already is
-/// emptied. False where events between are missing.
+/// Records one event, and empties it if the caller already has it. Returns
+/// false if events before it are missing.
 auto exchange::relay_event( stream_event& event ) -> bool
 {
     note_event();
@@ -191,7 +194,7 @@
     {
         if ( !can_relay( *from, end ) )
             return on_silent_target_failed( end );
-        return_to_silent_target( "it answers" );
+        return_to_silent_target( "the silent target answered" );
     }
     if ( !end.complete || !current_->head )
         return on_broken_attempt( end );
@@ -208,10 +211,10 @@
     auto const& head = *current_->head;
     if ( !is_whole( *current_ ) )
     {
-        auto end = attempt_end{};
-        end.error = { core::error_code::malformed, "answer not whole" };
-        end.sent = true;
-        return on_broken_attempt( end );
+        auto failure = attempt_end{};
+        failure.error = { core::error_code::malformed, "incomplete answer" };
+        failure.sent = true;
+        return on_broken_attempt( failure );
     }
     context_.loads.note_success( current_->target );
     if ( is_success( head.status ) )
@@ -253,7 +256,8 @@
             fail( status, "target_failed" );
         return;
     }
-    // Sooner, and worth more to a caller, than what a silent target may say.
+    // The caller gets this answer now: it is of more use to it than waiting for
+    // an attempt whose target is silent.
     answer_->send_whole(
         { status, current_->head->headers, std::move( current_->body ) } );
     close_attempt( false );
@@ -266,8 +270,8 @@
 {
     auto const at_fault = note_rejection( *current_ );
     auto const why = "not run, status " +
-                     std::to_string( current_->head->status ) + ", blames " +
-                     at_fault.id.str();
+                     std::to_string( current_->head->status ) +
+                     ", target at fault: " + at_fault.id.str();
     if ( retry( why, false, at_fault.id ) || return_to_silent_target( why ) )
         return;
     if ( streaming_ )
