--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-// The part of an exchange's life at targets: each try, from its sending to its
-// closing, and whether another one follows.
+// Member functions of exchange that send attempts to targets, close them and
+// decide whether to retry.
 
 namespace pollenstream::exchange
 {
@@ -16,20 +16,20 @@
 
 using namespace std::chrono_literals;
 
-/// Connections that could not be made do not count as targets reached, but a
-/// request does not try for ever. An answer that has begun goes on trying until
-/// its time is over, at this pause.
+/// A failed connection does not count as a target reached, so this bounds the
+/// connections that a request may fail to make. A stream that has begun still
+/// retries until its deadline, with a pause after each further failure.
 constexpr auto max_failed_connects = std::int64_t{ 4 };
 constexpr auto connect_pause = core::duration( 250ms );
-/// Retry-After where no repeat is left for what has not run.
-constexpr auto retry_after_no_repeat = core::duration( 400ms );
-/// Time that has to be left for another try to be worth it.
+/// Retry-After for a request that has not run and may not be retried.
+constexpr auto retry_after_no_retry_left = core::duration( 400ms );
+/// Another attempt is not worthwhile with less time than this to the deadline.
 constexpr auto min_time_for_retry = core::duration( 40ms );
 
 }
 
-/// Passes a target's answer on under the number of the try that it belongs
-/// to, and keeps the exchange alive meanwhile.
+/// Forwards the answer of one attempt to the exchange, with the attempt's
+/// serial number, and keeps the exchange alive.
 class exchange::attempt_handler : public attempt_listener
 {
 public:
@@ -69,7 +69,7 @@
     directions.workspace = workspace_;
     directions.last_event = last_event_;
     auto const id = reservation ? reservation->id() : core::reservation_id{};
-    // With memory held the first target lists its own part too, in front.
+    // If memory is reserved, the list starts with the first target's own part.
     for ( auto i = std::size_t{ reservation ? 0U : 1U };
           i < choice.targets.size(); ++i )
         directions.helpers.push_back(
@@ -77,7 +77,8 @@
     return directions;
 }
 
-/// Counts the work on the board and tells those who place prompts of it.
+/// Adds the work to the load table and, if other instances are to know of it,
+/// announces it to the coordinators.
 auto exchange::add_work( placement_grant const& grant ) -> void
 {
     auto work = open_work{};
@@ -113,17 +114,19 @@
     core::check_invariant( core::invariant::leaving_gets_no_work,
                            first.takes_work() || reservation,
                            "target " + first.properties.id.str() +
-                               " is leaving" );
+                               " got a request while leaving" );
     core::check_invariant( core::invariant::pause_holds,
                            !context_.loads.is_paused( first.ref(), now ),
                            "target " + first.properties.id.str() +
-                               " is paused" );
+                               " got a request during its pause" );
     core::check_invariant( core::invariant::quarantine_holds, !is_quarantined(),
-                           "content " + to_string( content_ ) + " sent" );
+                           "quarantined content " + to_string( content_ ) +
+                               " sent" );
     ++targets_reached_;
     core::check_invariant( core::invariant::at_most_once,
                            route_->is_idempotent() || !may_have_run_,
-                           "attempt " + request_.id.str() + " sent again" );
+                           "non-idempotent request " + request_.id.str() +
+                               " sent again" );
     auto const serial = grant.serial;
     context_.log.record( request_placed{
         request_.id, content_, route_->id.str(), first.properties.id,
@@ -172,8 +175,8 @@
            deadline_ - now > min_time_for_retry;
 }
 
-/// True where a repeat is left for now. It is taken when it is sent: what waits
-/// for room takes nothing from others.
+/// True if the retry budget allows a retry now. A retry is taken from the
+/// budget only when it is sent, so that waiting requests use up none of it.
 auto exchange::has_retry_budget() -> bool
 {
     return targets_reached_ == 0 ||
@@ -193,11 +196,12 @@
     return true;
 }
 
-/// The place came too late, or others have used up the budget meanwhile.
+/// The grant came too late, or other requests have used up the retry budget
+/// since it was requested.
 auto exchange::on_no_retry( placement_grant const& grant ) -> void
 {
     release( grant.serial, work_outcome::none );
-    give_up( "no_repeat_left", retry_after_no_repeat );
+    give_up( "no_repeat_left", retry_after_no_retry_left );
 }
 
 auto exchange::exclude_target( core::target_id const& target ) -> void
