--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -1,7 +1,7 @@
 #include <pollenstream/exchange/exchange.hpp>
 
-// The part of an exchange that draws conclusions about targets and contents:
-// what an answer says beside itself, and what a failure or a break may mean.
+// Member functions of exchange that update the known state of targets and
+// contents, from the headers of answers and from failures.
 
 namespace pollenstream::exchange
 {
@@ -11,16 +11,17 @@
 
 using namespace std::chrono_literals;
 
-/// How long a target that another one blames is left alone, here and at the
-/// other instances; a helper that is gone leaves the registry within seconds.
-constexpr auto rejection_ejection_time = core::duration( 1500ms );
-/// The same for one that took no connection.
+/// How long a target is ejected, at all instances, after an answer has shown
+/// that it is at fault. A helper that has ended leaves the registry within
+/// seconds, so a short time is enough.
+constexpr auto fault_ejection_time = core::duration( 1500ms );
+/// How long a target that accepts no connection is ejected.
 constexpr auto unreachable_ejection_time = core::duration( 1s );
 constexpr auto first_failure_status = 500;
 
 }
 
-/// Takes over what the target says of itself beside its answer.
+/// Records what the headers of an answer say about the target itself.
 auto exchange::note_reported_state( target_attempt const& from,
                                     answer_head const& head ) -> void
 {
@@ -44,7 +45,8 @@
     context_.announcer.target_leaves( target );
 }
 
-/// A failure says nothing of a limit where it names none.
+/// Records the rate limit in the headers of an answer. A missing limit means
+/// that there is none, except in a failure or in an answer without a digest.
 auto exchange::note_reported_limit( target_attempt const& from,
                                     answer_head const& head ) -> void
 {
@@ -70,7 +72,7 @@
         limit_state_change( target, change, head.limit, "its own answer" ) );
 }
 
-/// What has been served is no suspect any more, here and at the others.
+/// A content that has been served is no longer suspect, at any instance.
 auto exchange::note_served() -> void
 {
     auto const was_suspect =
@@ -79,8 +81,8 @@
         context_.announcer.suspect_served( content_ );
 }
 
-/// A target has proved that it did not run the request. Returns the target to
-/// blame: the answering one, or a helper that it names.
+/// Records that a target has proved it did not run the request. Returns the
+/// target at fault: the one that answered, or a helper that it names.
 auto exchange::note_rejection( target_attempt const& from ) -> target_ref
 {
     auto const& head = *from.head;
@@ -91,9 +93,10 @@
     auto at_fault = named ? named->ref() : from.target;
     if ( head.wrong_target || at_fault != from.target )
     {
-        // Gone, or of no use to others: certain at once, and for all.
-        context_.loads.eject( at_fault, now + rejection_ejection_time );
-        context_.announcer.target_ejected( at_fault, rejection_ejection_time );
+        // The target has ended or is of no use to any instance. One answer is
+        // proof, so it is ejected everywhere at once.
+        context_.loads.eject( at_fault, now + fault_ejection_time );
+        context_.announcer.target_ejected( at_fault, fault_ejection_time );
     }
     else
     {
@@ -102,13 +105,13 @@
                                               target_failure::turned_away );
         else if ( context_.loads.note_failure( at_fault, now,
                                                target_failure::turned_away ) )
-            context_.announcer.target_ejected( at_fault,
-                                               rejection_ejection_time );
+            context_.announcer.target_ejected( at_fault, fault_ejection_time );
     }
     return at_fault;
 }
 
-/// Takes a failure over on the board, and tells those who place prompts.
+/// Records a failure in the load table, and reports the failure of an engine to
+/// the coordinators.
 auto exchange::note_failure( target_ref const& target ) -> void
 {
     context_.loads.note_failure( target, context_.scheduler.now() );
@@ -116,14 +119,15 @@
         context_.announcer.target_failed( target, target_failure::failed );
 }
 
-/// Takes over that the answer has not come to its end.
+/// Records that an attempt ended without a complete answer.
 auto exchange::note_broken_attempt( target_attempt const& which,
                                     attempt_end const& end ) -> void
 {
     note_failure( which.target );
     if ( end.sent )
         return note_crash( which.target, end.error );
-    // Nobody listens there: stronger evidence than a broken answer.
+    // Nothing was sent, so nothing listens there. This is stronger evidence
+    // than a broken answer and counts as a second failure.
     if ( context_.loads.note_failure( which.target, context_.scheduler.now() ) )
         context_.announcer.target_ejected( which.target,
                                            unreachable_ejection_time );
@@ -131,9 +135,9 @@
     ++connects_failed_;
 }
 
-/// A connection that ends before its answer may mean that the target has ended,
-/// and by this request. Silence does not: what has ended closes its
-/// connections.
+/// Records a possible crash. A connection that closes before the answer is
+/// complete may mean that this request ended the target's process. Silence does
+/// not, because the connections of a process that has ended are closed.
 auto exchange::note_crash( target_ref const& target, core::error const& why )
     -> void
 {
