--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -3,8 +3,9 @@
 #include <algorithm>
 #include <utility>
 
-// The part of an exchange's life in which its target says nothing. It may live:
-// another place is looked for, and the first of the two to speak goes on.
+// Member functions of exchange for a target that is silent. The target may
+// still be working, so its attempt stays open while another target is tried (a
+// hedge). The first of the two to send an event goes on.
 
 namespace pollenstream::exchange
 {
@@ -14,20 +15,22 @@
 
 using namespace std::chrono_literals;
 
-/// Silence before the first event that is put down to the target: this much
-/// and this many times the prediction. Predictions are late by a pass or two.
-/// A prompt read in parts waits for the slowest of its readers, so that the
-/// slack is never less than the route's objective.
+/// Silence that is tolerated before the first event: this slack plus this
+/// multiple of the prediction. The first event may come a forward pass or two
+/// later than predicted. A split prompt waits for the slowest engine that
+/// prefills a part, so the slack is at least the route's latency objective.
 constexpr auto first_event_slack = core::duration( 900ms );
 constexpr auto first_event_factor = 2.5;
-/// Silence between events: at least this, or this many tolerated pauses.
+/// Silence that is tolerated between events: at least this, or this multiple of
+/// the route's gap objective.
 constexpr auto min_event_silence = core::duration( 1s );
 constexpr auto silence_per_gap = 4;
-/// Longest time for which an engine that reads is expected to be silent: longer
-/// parts are not given to one that writes.
+/// Longest silence that is expected because an engine prefills other prompts.
+/// Parts with a longer prefill are not placed on an engine that decodes.
 constexpr auto max_prefill_wait = core::duration( 2s );
-/// Silence of a call that may be repeated: at least this, or this many times
-/// its objective. Calls of the first deployments take 220 ms at most.
+/// Silence that is tolerated of a call that may be retried: at least this, or
+/// this multiple of its latency objective. Calls of the first deployments take
+/// 220 ms at most.
 constexpr auto min_call_silence = core::duration( 250ms );
 constexpr auto call_silence_per_latency = 2;
 
@@ -65,8 +68,8 @@
     return true;
 }
 
-/// The silent target has ended or failed after all. What is looked for or has
-/// been found meanwhile goes on without it.
+/// The silent attempt has ended or failed. The placement request or attempt
+/// that was started beside it goes on alone.
 auto exchange::on_silent_target_failed( attempt_end const& end ) -> void
 {
     auto const& head = silent_->head;
@@ -84,9 +87,9 @@
         on_patience_expired();
 }
 
-/// Silence that is not put down to the target yet. An engine is silent while it
-/// reads what the board knows of: that is no failure, and the request would
-/// only be read a second time elsewhere.
+/// How long the current target may be silent before another one is tried. An
+/// engine is silent while it prefills the prompts that the load table has for
+/// it. That is no failure, and a hedge would only repeat the prefill elsewhere.
 auto exchange::silence_timeout() const -> core::duration
 {
     auto const target = context_.loads.find_lifetime( current_->target );
@@ -136,12 +139,13 @@
     silence_timer_delay_ = now - silence_timer_due_;
     if ( route_->kind == request_kind::stream && since < silence_timeout() )
         return arm_silence_timer();
-    // Only worth a look where another target may be reached.
+    // Nothing to do unless another target may be tried.
     if ( !route_->is_idempotent() || targets_reached_ >= route_->max_targets )
         return;
     if ( !silent_ )
         return try_another_target();
-    // Two are open and say nothing. A third would take the place of one.
+    // Two attempts are open and silent. A third would replace one of them, so
+    // the exchange keeps waiting for these.
     current_->silent_from = now;
     arm_silence_timer();
 }
