--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <utility>
 
-// The part of an exchange's life in which it waits for targets: what it asks,
-// what it hears, how memory is set aside for it, and when it is told that it
-// waits in vain.
+// Member functions of exchange that get targets for it: they send placement
+// requests, handle grants and refusals, reserve memory, and end the wait when
+// the caller's patience runs out.
 
 namespace pollenstream::exchange
 {
@@ -16,15 +16,16 @@
 
 using namespace std::chrono_literals;
 
-/// Shortest pause after memory could not be reserved.
+/// Minimum pause after a failed reservation of memory.
 constexpr auto reservation_pause = core::duration( 150ms );
-/// Pause where a target that was granted is not usable here: the two instances
-/// hear of a change of the registry some tens of ms apart.
+/// Pause after a grant with a target that this instance cannot use. Two
+/// instances learn of a change in the registry some tens of milliseconds apart.
 constexpr auto registry_pause = core::duration( 40ms );
 
 }
 
-/// Passes on what becomes of one ask, and keeps the exchange alive meanwhile.
+/// Forwards the outcome of one placement request to the exchange and keeps it
+/// alive.
 class exchange::placement_handler : public placement_listener
 {
 public:
@@ -77,8 +78,9 @@
     arm_pause_timer();
 }
 
-/// Who places prompts does not know of this instance's pauses and leaves out
-/// what it was told with the ask: asked anew, it takes the target in again.
+/// Repeats the placement request when a pause ends. The coordinator knows of
+/// this instance's pauses only from the placement request, and excludes the
+/// paused targets from its choice until it gets a new one.
 auto exchange::arm_pause_timer() -> void
 {
     if ( demand_.paused.empty() )
@@ -96,7 +98,7 @@
         } );
 }
 
-/// When the first target that this request has not tried may be sent to again.
+/// When the first pause ends of a target that this request has not tried.
 auto exchange::end_of_pause() const -> core::instant
 {
     auto const& tried = demand_.tried;
@@ -108,8 +110,9 @@
     return earliest;
 }
 
-/// All targets want nothing from this instance now. Returns false where the
-/// call can still be in time when the first pause is over, and waits for that.
+/// All targets have asked this instance to pause. Returns false if the first
+/// pause ends within the latency objective, so that the call waits for it. Else
+/// gives the request up and returns true.
 auto exchange::wait_for_pause( core::instant now ) -> bool
 {
     auto const until = end_of_pause();
@@ -149,7 +152,8 @@
         on_unusable_grant( grant );
 }
 
-/// True where the content has been quarantined since the grant was asked for.
+/// Ends the request if its content has been quarantined since the grant was
+/// requested. Returns true if so.
 auto exchange::end_if_quarantined(
     placement_grant const& grant,
     std::shared_ptr<reservation_group> const& reservation ) -> bool
@@ -168,7 +172,8 @@
     if ( end_if_quarantined( grant, nullptr ) )
         return;
     is_suspect_ = grant.is_suspect || demand_.crashes > 0;
-    // At once, so that what is told of all open work has it.
+    // Added before any memory is reserved, so that reports of all open work
+    // include it.
     add_work( grant );
     if ( !grant.choice.needs_reservation )
         return send( grant, nullptr );
@@ -200,7 +205,7 @@
 {
     if ( reserving_grant_ != grant.serial )
     {
-        // It has ended since, or its silent target has spoken.
+        // The request has ended, or its silent target has sent events again.
         release( grant.serial, work_outcome::none );
         return reservation->release();
     }
@@ -216,8 +221,8 @@
         grant, { core::error_code::expired, "target restarted or paused" } );
 }
 
-/// False where a target of the choice has started again since, and holds none
-/// of the memory that was reserved, or wants nothing from this instance now.
+/// False if a target of the choice has restarted, which loses the memory
+/// reserved there, or has asked this instance to pause.
 auto exchange::is_still_valid( placement_choice const& choice ) const -> bool
 {
     auto const now = context_.scheduler.now();
@@ -230,8 +235,9 @@
                         } );
 }
 
-/// The targets hold less than the board says; others may have reserved at the
-/// same time. A pause that is spread keeps them from meeting again.
+/// The targets have less free memory than the load table says, because others
+/// may have reserved at the same time. A random part of the pause keeps them
+/// from colliding again.
 auto exchange::on_reservation_failed( placement_grant const& grant,
                                       core::error const& why ) -> void
 {
@@ -247,8 +253,8 @@
     wait_for_capacity();
 }
 
-/// A target that was granted may have begun to leave, or its entry may not be
-/// known here yet.
+/// A granted target may have started to leave, be paused, or not be known to
+/// this instance yet. Requests a placement again after a pause.
 auto exchange::on_unusable_grant( placement_grant const& grant ) -> void
 {
     for ( auto i = std::size_t{ 0 }; i < grant.choice.targets.size(); ++i )
@@ -277,11 +283,12 @@
     patience_timer_.reset();
     pause_timer_.reset();
     waiting_ = false;
-    // Withdraws what was asked and not answered.
+    // Withdraws a placement request that has not been answered.
     pending_placement_.reset();
 }
 
-/// Gives back what was asked for or found and is not needed any more.
+/// Withdraws the placement request, leaves the wait queue and drops a grant
+/// whose memory is still being reserved.
 auto exchange::cancel_placement() -> void
 {
     stop_waiting();
@@ -310,8 +317,8 @@
 auto exchange::on_patience_expired() -> void
 {
     auto const keep = shared_from_this();
-    // The caller who has a part of the answer, or whose target may still speak,
-    // loses nothing by waiting on.
+    // A caller that has part of the answer, or whose silent target may still
+    // answer, loses nothing by waiting longer.
     if ( finished_ || !waiting_ || streaming_ || silent_ )
         return;
     if ( may_have_run_ )
