--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -26,15 +26,15 @@
 
 class exchange;
 
-/// What the end of a request's work says of the target that answered.
+/// What the end of a request's work shows about its target.
 enum class work_outcome
 {
-    none,   ///< nothing: it was withdrawn, or its failure is told by itself
-    served, ///< the whole answer has come
+    none, ///< nothing: it was cancelled, or its failure is reported separately
+    served, ///< the answer is complete
 };
 
-/// Tells those who place prompts of this instance's open work, and all others
-/// of targets that are of no use.
+/// Announces this instance's open work to the coordinators, and the state of
+/// targets and contents that has changed to all instances.
 class work_announcer
 {
 public:
@@ -47,18 +47,18 @@
         -> void = 0;
     virtual auto target_ejected( target_ref const& ref, core::duration time )
         -> void = 0;
-    /// The target has said in an answer that it leaves.
+    /// The target has announced in an answer that it is leaving.
     virtual auto target_leaves( target_ref const& ref ) -> void = 0;
     /// The limit that the target names in its answers has changed.
     virtual auto target_limited( target_ref const& ref, limit_change change )
         -> void = 0;
-    /// A run broke off at a target that may have ended by it.
+    /// An attempt broke off at a target, which it may have crashed.
     virtual auto run_crashed( crashed_run const& what ) -> void = 0;
-    /// A content that was under suspicion has been served.
+    /// A suspect content has been served.
     virtual auto suspect_served( content_id content ) -> void = 0;
 };
 
-/// Counts over all requests of this instance.
+/// Counters over all requests of this instance.
 struct exchange_counters
 {
     core::counter requests;
@@ -68,19 +68,19 @@
     core::counter caller_gone; ///< the caller closed its connection
     core::counter retries;
     core::counter resumed;
-    /// Headers of targets' answers that nobody here knows.
+    /// Unknown headers in the answers of targets, by name.
     core::name_counts unknown_headers;
 };
 
-/// The process has been told to end.
+/// When a process that has been told to end stops.
 struct planned_stop
 {
-    core::instant callers_know_at; ///< all have heard of it
-    core::instant ends_at;         ///< the process has to have ended
+    core::instant callers_know_at; ///< all callers know of the stop by then
+    core::instant ends_at;         ///< the process must have ended by then
 };
 
-/// What all exchanges of one instance share. Lives as long as the process;
-/// used by the thread that runs the requests.
+/// State shared by all exchanges of one instance. Lives as long as the process.
+/// Only the thread that runs the requests uses it.
 struct exchange_context
 {
     ports::scheduler& scheduler;
@@ -89,8 +89,8 @@
     reservation_caller& reservations;
     load_table& loads;
     crash_history& crashes;
-    placement& chooser;           ///< for what this instance places by itself
-    placement_client& placements; ///< gets targets for prompts
+    placement& chooser;           ///< chooses targets without the coordinator
+    placement_client& placements; ///< requests targets from the coordinator
     shared_retry_budget& retries;
     wait_queue& queue;
     event_log& log;
@@ -99,7 +99,7 @@
     configuration_ptr configuration; ///< null until one is known
     std::optional<planned_stop> stop;
     std::uint64_t last_serial{ 0 };
-    /// All exchanges without a last word; each takes itself off.
+    /// All exchanges that have not ended. Each removes itself at its end.
     std::unordered_set<exchange*> open;
     exchange_counters counters;
     std::minstd_rand random;
