--- a/src/pollenstream/exchange/event_log.hpp
+++ b/src/pollenstream/exchange/event_log.hpp
@@ -27,7 +27,7 @@
     core::duration retry_after{ 0 };
     core::revision configuration;
     std::int64_t prompt_tokens{ 0 };
-    std::size_t waiting{ 0 }; ///< requests of this instance that wait
+    std::size_t waiting{ 0 }; ///< length of this instance's wait queue
 };
 
 /// A request was sent to a target.
@@ -37,19 +37,20 @@
     content_id content;
     std::string route;
     core::target_id target;
-    std::vector<work_part> parts; ///< the target's own part is the first
-    std::int64_t number{ 1 };     ///< targets reached so far, this one included
+    std::vector<work_part> parts; ///< the target's own part comes first
+    std::int64_t number{ 1 };     ///< targets reached, including this one
     core::duration waited{ 0 };
     core::duration time_left{ 0 };
     double predicted_ms{ 0 };
     std::int64_t prompt_tokens{ 0 };
-    choice_basis basis; ///< what `decided_by` knew of the targets
+    choice_basis basis; ///< load of the targets as known to `decided_by`
     core::revision configuration;
-    core::instance_id decided_by;       ///< the instance that chose the targets
-    core::duration placement_time{ 0 }; ///< from the ask to the choice
+    core::instance_id decided_by; ///< the instance that chose the targets
+    core::duration placement_time{
+        0 }; ///< from the placement request to its grant
 };
 
-/// An attempt at a target failed, and what follows from it.
+/// An attempt at a target failed. `decision` says what the exchange does next.
 struct attempt_failed
 {
     attempt_id id;
@@ -58,14 +59,14 @@
     std::string error;
     bool may_have_run{ false };
     std::string decision;
-    core::duration silent_for{ 0 }; ///< since the target was last heard
-    std::int64_t events{ 0 };       ///< passed on to the caller before
-    /// By how much this instance's own timer was late, where silence is the
-    /// error: what the target sent meanwhile has not been read.
+    core::duration silent_for{ 0 }; ///< since data last came from the target
+    std::int64_t events{ 0 };       ///< received for this request until then
+    /// How late the timer fired that detected a silence. Data that the target
+    /// sent during this delay has not been read yet.
     core::duration timer_late{ 0 };
 };
 
-/// A request has its last word.
+/// A request has ended.
 struct request_ended
 {
     attempt_id id;
@@ -82,21 +83,22 @@
     std::int64_t prompt_tokens{ 0 };
     core::duration latency_objective{ 0 }; ///< zero where no route is known
     core::duration gap_objective{ 0 };
-    core::revision configuration;     ///< that it was taken in under
+    core::revision configuration;     ///< in force when it was admitted
     core::revision configuration_now; ///< in force at its end
 };
 
-/// What the process believes of something has changed.
+/// The state of something, as known to this process, has changed.
 struct state_change
 {
     std::string what; ///< `target`, `store`, `peer`, `configuration`, `process`
     std::string name;
-    std::string now;
+    std::string now; ///< the new state
     std::string because;
-    core::duration age{ 0 }; ///< of what the belief rests on
+    core::duration age{ 0 }; ///< of the data that the state is known from
 };
 
-/// News of a target's limit, told by `because`.
+/// The event for a change of a target's limit. `because` names the source of
+/// the limit, to which the rate is appended.
 auto limit_state_change( target_ref const& target,
                          limit_change change,
                          std::optional<double> per_second,
@@ -108,7 +110,7 @@
                            request_ended,
                            state_change>;
 
-/// Takes events; never blocks.
+/// Receives the events of all exchanges. Implementations never block.
 class event_log
 {
 public:
