--- a/src/pollenstream/exchange/own_answers.cpp
+++ b/src/pollenstream/exchange/own_answers.cpp
@@ -11,16 +11,17 @@
 
 using namespace std::chrono_literals;
 
-/// Added for each that waits: a short prompt is read in 20 to 35 ms, and
-/// several engines read at once.
+/// Added for each waiting request. A short prompt takes 20 to 35 ms to prefill,
+/// and several engines prefill at once.
 constexpr auto pause_per_waiting = core::duration( 10ms );
-/// Longest pause for the queue: callers of the shortest long route have no more
-/// than 1.5 s to be in time.
+/// Upper bound of the pause for waiting requests. Among the routes for long
+/// prompts, the shortest latency objective is 1.5 s.
 constexpr auto max_queue_pause = core::duration( 1500ms );
-/// In times of the shortest reading that a wide prompt could have: engines are
-/// then through with what was before it.
+/// Pause of a split prompt, as a multiple of its shortest prefill. By then the
+/// engines have finished the prompts before it.
 constexpr auto pause_per_prefill = 2;
-/// Those who are refused together come back spread over this time.
+/// The random part of the pause: requests that are refused together come back
+/// spread over this time.
 constexpr auto return_spread = core::duration( 300ms );
 
 }
--- a/src/pollenstream/exchange/own_answers.hpp
+++ b/src/pollenstream/exchange/own_answers.hpp
@@ -10,28 +10,28 @@
 namespace pollenstream::exchange
 {
 
-// Answers that an exchange gives by itself, in whichever part of its life.
+// Constants of the answers that the gateway gives itself, without a target.
 
-/// Retry-After where a target turned a call away: another one, or the same a
-/// moment later, may take it.
+/// Retry-After when a target has turned a call away. Another target may accept
+/// it, or the same one a moment later.
 inline constexpr auto retry_after_turned_away =
     core::duration( std::chrono::milliseconds( 60 ) );
-/// Retry-After where no target is known.
+/// Retry-After when no target is known.
 inline constexpr auto retry_after_no_target =
     core::duration( std::chrono::milliseconds( 400 ) );
-/// Reason of an answer to a request for which targets have no room by the
-/// limits that they name.
+/// Reason for refusing a request because of the rate limits that targets name.
 inline constexpr auto limited_reason = "limited";
-/// Reason of an answer to a request that ends its targets.
+/// Reason for refusing a request whose content crashes targets.
 inline constexpr auto quarantined_reason = "quarantined";
 inline constexpr auto status_bad_gateway = 502;
 inline constexpr auto status_unavailable = 503;
 inline constexpr auto status_gateway_timeout = 504;
 
-/// Retry-After of a request that found no room, when there may be some: the
-/// later the more others wait, and for a wide prompt not before those that were
-/// before it are read. `shortest_prefill` is its own at best, zero for others.
-/// Those who are refused together come back spread.
+/// Retry-After of a request for which no target had capacity. It grows with the
+/// number of requests that wait, and for a split prompt allows for the prefill
+/// of the prompts before it. `shortest_prefill` is the time that its own
+/// prefill takes at best, or zero if the prompt is not split. A random part
+/// spreads the return of requests that are refused together.
 auto retry_after_no_capacity( std::size_t waiting,
                               core::duration shortest_prefill,
                               std::minstd_rand& random ) -> core::duration;
--- a/tests/exchange/own_answers_test.cpp
+++ b/tests/exchange/own_answers_test.cpp
@@ -8,30 +8,33 @@
 namespace exchange = pollenstream::exchange;
 using namespace std::chrono_literals;
 
-TEST_CASE( "who finds no room comes back the later the more wait before it",
-           "[refusing]" )
+TEST_CASE(
+    "retry-after without capacity grows with the number of waiting requests",
+    "[retry_after]" )
 {
     auto random = std::minstd_rand( 1 );
     auto const spread = core::duration( 300ms );
-    auto const alone = exchange::retry_after_no_capacity( 0, 0ms, random );
-    CHECK( alone <= spread );
-    auto const behind_60 = exchange::retry_after_no_capacity( 60, 0ms, random );
-    CHECK( behind_60 >= 600ms );
-    CHECK( behind_60 <= 600ms + spread );
-    // Never so late that the shortest objective of a long route is over.
+    auto const with_none_waiting =
+        exchange::retry_after_no_capacity( 0, 0ms, random );
+    CHECK( with_none_waiting <= spread );
+    auto const with_60_waiting =
+        exchange::retry_after_no_capacity( 60, 0ms, random );
+    CHECK( with_60_waiting >= 600ms );
+    CHECK( with_60_waiting <= 600ms + spread );
+    // Never later than the shortest objective of a route for long prompts.
     CHECK( exchange::retry_after_no_capacity( 10'000, 0ms, random ) <=
            1500ms + spread );
 }
 
-TEST_CASE( "a wide prompt comes back when those before it may be read",
-           "[refusing]" )
+TEST_CASE( "a split prompt comes back after twice its shortest prefill",
+           "[retry_after]" )
 {
     auto random = std::minstd_rand( 1 );
     CHECK( exchange::retry_after_no_capacity( 5, 900ms, random ) >= 1800ms );
 }
 
-TEST_CASE( "those who are refused together come back at different times",
-           "[refusing]" )
+TEST_CASE( "requests refused together come back at different times",
+           "[retry_after]" )
 {
     auto random = std::minstd_rand( 1 );
     auto times = std::set<core::duration>{};
