--- a/tests/exchange/pause_test.cpp
+++ b/tests/exchange/pause_test.cpp
@@ -5,8 +5,9 @@
 #include <algorithm>
 #include <map>
 
-// What is asked: a target that turns a request away may say for how long it
-// wants nothing more from the instance that sent it.
+// A target that turns a request away may ask the sending instance to pause,
+// that is, to send it nothing for a given time. Other instances are not
+// affected.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -37,8 +38,9 @@
 
 }
 
-TEST_CASE( "a target that asks for a pause gets nothing until it is over",
-           "[exchange][pause]" )
+TEST_CASE(
+    "a target that asks for a pause gets no request until the pause ends",
+    "[exchange][pause]" )
 {
     auto f = exchange_fixture{};
     auto const path = GENERATE( as<std::string>{}, "/safe/x", "/chat/x" );
@@ -65,7 +67,7 @@
     f.targets.all.back()->answer( 200, "" );
 }
 
-TEST_CASE( "where all targets ask for a pause callers hear when it is over",
+TEST_CASE( "if all targets have asked for a pause callers wait or are refused",
            "[exchange][pause]" )
 {
     auto f = exchange_fixture{};
@@ -76,7 +78,8 @@
         turn_away_for( *f.targets.all[1], pause );
         REQUIRE( f.answer->whole.status == 503 );
     };
-    SECTION( "at once, where it is too long for them" )
+    SECTION(
+        "a long pause: refused at once, with the rest of it as Retry-After" )
     {
         pause_all( 3s );
         f.answer->whole.status = 0;
@@ -87,7 +90,7 @@
         CHECK( seconds > 2.5 );
         CHECK( seconds < 3.5 );
     }
-    SECTION( "and wait for a short one" )
+    SECTION( "a short pause: they wait until it ends" )
     {
         pause_all( 120ms );
         f.answer->whole.status = 0;
@@ -101,7 +104,7 @@
     }
 }
 
-TEST_CASE( "a prompt waits at its coordinator for the asker's pause to end",
+TEST_CASE( "a prompt waits at the coordinator until its instance's pause ends",
            "[exchange][pause]" )
 {
     auto f = exchange_fixture{};
@@ -117,14 +120,15 @@
     f.scheduler.run( 50ms );
     CHECK( f.targets.all.size() == 1 );
     f.scheduler.run( 150ms );
-    // The first has tried this one, and no other is left for it.
+    // Only the second prompt is sent: the first has already tried the only
+    // target that is left.
     REQUIRE( f.targets.all.size() == 2 );
     f.targets.all[1]->answer( 200, "" );
     f.scheduler.run( 10s );
     CHECK( f.context.open.empty() );
 }
 
-TEST_CASE( "a pause that one instance was asked for leaves the others free",
+TEST_CASE( "a pause asked of one instance does not stop the others",
            "[exchange][pause]" )
 {
     auto fleet = exchange_fleet( 3, 6, 2 );
