--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -14,8 +14,9 @@
 
 using namespace std::chrono_literals;
 
-/// Callers leave after a silence as long as the largest of these: a fixed time
-/// and multiples of the route's two objectives. The platform defines them.
+/// Callers of streams leave after a silence as long as the largest of these: a
+/// fixed time and multiples of the route's two objectives. The platform defines
+/// them.
 constexpr auto min_patience = core::duration( 2s );
 constexpr auto patience_per_latency = 4;
 constexpr auto patience_per_gap = 8;
