--- a/src/pollenstream/exchange/event_log.hpp
+++ b/src/pollenstream/exchange/event_log.hpp
@@ -15,7 +15,7 @@
 namespace pollenstream::exchange
 {
 
-/// A request was answered without being sent to a target.
+/// The gateway refused a request that no target has run.
 struct request_refused
 {
     attempt_id id;
@@ -46,8 +46,8 @@
     choice_basis basis; ///< load of the targets as known to `decided_by`
     core::revision configuration;
     core::instance_id decided_by; ///< the instance that chose the targets
-    core::duration placement_time{
-        0 }; ///< from the placement request to its grant
+    /// From the placement request to its grant.
+    core::duration placement_time{ 0 };
 };
 
 /// An attempt at a target failed. `decision` says what the exchange does next.
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -129,7 +129,7 @@
         return wait_for_configuration();
     admit();
     if ( !finished_ && !try_start() )
-        wait_for_capacity();
+        wait_in_queue();
 }
 
 /// Callers connect to a new instance before it has read the configuration. A
--- a/src/pollenstream/exchange/exchange.hpp
+++ b/src/pollenstream/exchange/exchange.hpp
@@ -53,7 +53,7 @@
         return false;
     }
     /// Always true: exchanges wait in this queue for the configuration or for
-    /// the end of a pause, not for capacity that an earlier item may take.
+    /// the end of a pause. Prompts wait for capacity at the coordinator.
     [[nodiscard]] auto is_always_tried() const -> bool override
     {
         return true;
@@ -126,7 +126,7 @@
         const -> target_directions;
     [[nodiscard]] auto is_still_valid( placement_choice const& choice ) const
         -> bool;
-    auto wait_for_capacity() -> void;
+    auto wait_in_queue() -> void;
     [[nodiscard]] auto
     is_usable( std::shared_ptr<target_entry> const& target ) const -> bool;
     auto begin_waiting() -> void;
@@ -250,8 +250,8 @@
     std::optional<pending_placement> pending_placement_;
     /// Placement requests that wait at the coordinator with this one.
     std::size_t placement_queue_size_{ 0 };
-    core::duration last_placement_time_{ 0 };
-    std::optional<target_attempt> current_; ///< its answer is relayed
+    core::duration last_placement_time_{ 0 }; ///< from request to last grant
+    std::optional<target_attempt> current_;   ///< its answer is relayed
     /// The former current attempt, whose target has fallen silent but may still
     /// answer. It stays open until an event of another attempt arrives, and
     /// becomes current again if it is first to send or no other target is left.
@@ -269,7 +269,7 @@
     core::duration longest_gap_{ 0 };
     core::instant last_event_at_;
     core::target_id last_target_;
-    core::instant silence_timer_due_;
+    core::instant silence_timer_due_;         ///< when it should fire
     core::duration silence_timer_delay_{ 0 }; ///< how late it last fired
     bool finished_{ false };
 };
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -236,7 +236,7 @@
     if ( connects_failed_ >= max_failed_connects )
         not_before_ = context_.scheduler.now() + connect_pause;
     if ( !try_start() )
-        wait_for_capacity();
+        wait_in_queue();
     return true;
 }
 
--- a/src/pollenstream/exchange/exchange_silence.cpp
+++ b/src/pollenstream/exchange/exchange_silence.cpp
@@ -52,7 +52,7 @@
     exclude_target( current_->target.id );
     silent_ = std::exchange( current_, std::nullopt );
     if ( !try_start() )
-        wait_for_capacity();
+        wait_in_queue();
 }
 
 auto exchange::return_to_silent_target( std::string const& why ) -> bool
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -94,7 +94,7 @@
                 return;
             stop_waiting();
             if ( !try_start() )
-                wait_for_capacity();
+                wait_in_queue();
         } );
 }
 
@@ -250,7 +250,7 @@
         0, reservation_pause.count() )( context_.random );
     not_before_ =
         context_.scheduler.now() + reservation_pause + core::duration( spread );
-    wait_for_capacity();
+    wait_in_queue();
 }
 
 /// A granted target may have started to leave, be paused, or not be known to
@@ -262,7 +262,7 @@
             demand_.tried.push_back( grant.choice.parts[i].target );
     release( grant.serial, work_outcome::none );
     not_before_ = context_.scheduler.now() + registry_pause;
-    wait_for_capacity();
+    wait_in_queue();
 }
 
 auto exchange::on_refused( std::uint64_t serial, placement_refusal refusal )
@@ -296,7 +296,7 @@
     reserving_grant_.reset();
 }
 
-auto exchange::wait_for_capacity() -> void
+auto exchange::wait_in_queue() -> void
 {
     context_.queue.add( shared_from_this() );
     begin_waiting();
