--- a/src/pollenstream/exchange/engine_capacity.cpp
+++ b/src/pollenstream/exchange/engine_capacity.cpp
@@ -44,7 +44,7 @@
 auto harmed_by( target_entry const& t, double pause_ms ) -> double
 {
     auto harmed = 0.0;
-    for ( auto const& [gap, group] : t.load.by_gap )
+    for ( auto const& [gap, group] : t.load.by_tolerated_gap )
         if ( static_cast<double>( gap ) < pause_ms )
             harmed += group.weight;
     return harmed;
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -13,35 +13,37 @@
 
 using namespace std::chrono_literals;
 
-/// First time for which a failing target gets nothing; it doubles with each
-/// further failure. Crashed targets of the users' days are away for seconds;
-/// a single lost connection should cost little.
+/// Duration of a target's first ejection, doubled with each further failure.
+/// It starts short because a lost connection should cost little, and grows
+/// because a crashed target takes seconds to come back.
 constexpr auto first_ejection = core::duration( 500ms );
 constexpr auto max_ejection = core::duration( 8s );
-/// Failures in a row after which a target is shunned. One failure of a target
-/// that else answers may be the connection's.
+/// Failures in a row after which a target is ejected. A single failure may be
+/// the connection's rather than the target's.
 constexpr auto failures_to_eject = std::int64_t{ 2 };
-/// Share of failed requests, decaying by `failure_decay` a request, from which
-/// a target is shunned whatever its latest answer was.
-constexpr auto failing_share = 0.45;
+/// Share of failed requests from which a target is ejected even if some
+/// requests succeed in between. Each request decays the earlier ones by
+/// `failure_decay`.
+constexpr auto failure_share_to_eject = 0.45;
 constexpr auto failure_decay = 0.8;
 
-/// Arrivals count for the rate for about this long: short against the waves of
-/// the users' days (ten seconds), long against the pauses between requests.
-constexpr auto rate_seconds = 1.0;
-/// The same for reading: a long prompt takes some seconds.
-constexpr auto reading_seconds = 2.0;
+/// Time constant of the arrival rate: short compared to load waves (ten
+/// seconds), long compared to the gaps between requests.
+constexpr auto rate_decay_seconds = 1.0;
+/// Time constant of the prefill utilization. Longer, because the prefill of a
+/// long prompt takes some seconds.
+constexpr auto prefill_decay_seconds = 2.0;
 
-auto ms_of( double ms ) -> core::duration
+auto from_ms( double ms ) -> core::duration
 {
     return core::duration_of( ms / 1'000 );
 }
 
 auto ejection_time( std::int64_t failures ) -> core::duration
 {
-    constexpr auto most_doublings = std::int64_t{ 4 };
+    constexpr auto max_doublings = std::int64_t{ 4 };
     auto const doublings = std::clamp( failures - failures_to_eject,
-                                       std::int64_t{ 0 }, most_doublings );
+                                       std::int64_t{ 0 }, max_doublings );
     return std::min( max_ejection, first_ejection * ( 1 << doublings ) );
 }
 
@@ -59,19 +61,19 @@
     if ( !entry || entry->properties.service != properties.service )
     {
         auto const leaving = properties.leaving;
-        set_entry( std::move( properties ) );
+        replace_entry( std::move( properties ) );
         return leaving ? target_change::starts_to_leave : target_change::added;
     }
     if ( properties.lifetime < entry->properties.lifetime )
         return target_change::none;
     if ( properties.lifetime > entry->properties.lifetime )
     {
-        set_entry( std::move( properties ) );
+        replace_entry( std::move( properties ) );
         return target_change::restarted;
     }
     auto const starts_to_leave =
         properties.leaving && !entry->properties.leaving;
-    // A target that has begun to leave does not come back in one lifetime.
+    // A target that has begun to leave does not return in the same lifetime.
     properties.leaving = properties.leaving || entry->properties.leaving;
     entry->properties = std::move( properties );
     entry->gone = false;
@@ -79,20 +81,20 @@
                            : target_change::none;
 }
 
-/// Open work keeps the entry on which it was counted, so that what ends later
-/// is taken off there and not off the new entry.
-auto load_table::set_entry( target_properties properties ) -> void
+/// Open work keeps a pointer to the entry on which it was counted, so that its
+/// end is not subtracted from the new entry.
+auto load_table::replace_entry( target_properties properties ) -> void
 {
-    auto fresh = std::make_shared<target_entry>();
-    fresh->rank = core::stable_hash( properties.id.str() );
-    fresh->properties = std::move( properties );
-    pauses_.erase( fresh->properties.id );
-    limited_.erase( fresh->properties.id );
-    auto& entry = by_id_[fresh->properties.id];
-    auto const former = std::exchange( entry, fresh );
+    auto entry = std::make_shared<target_entry>();
+    entry->rank = core::stable_hash( properties.id.str() );
+    entry->properties = std::move( properties );
+    pauses_.erase( entry->properties.id );
+    limited_.erase( entry->properties.id );
+    auto& slot = by_id_[entry->properties.id];
+    auto const former = std::exchange( slot, entry );
     if ( former )
-        erase_from_order( former );
-    insert_in_order( fresh );
+        erase_from_service( former );
+    insert_into_service( entry );
 }
 
 auto load_table::remove( core::target_id const& id ) -> void
@@ -100,35 +102,35 @@
     auto const found = by_id_.find( id );
     if ( found == by_id_.end() )
         return;
-    erase_from_order( found->second );
+    erase_from_service( found->second );
     by_id_.erase( found );
     limited_.erase( id );
 }
 
 auto load_table::mark_gone( core::target_id const& id ) -> void
 {
-    auto const at = find( id );
-    if ( at )
-        at->gone = true;
+    auto const entry = find( id );
+    if ( entry )
+        entry->gone = true;
 }
 
-/// One place is found, instead of sorting all anew: a process that starts
-/// before 3,000 targets puts them in 0.003 s instead of 0.28 s (one core, in
-/// process).
-auto load_table::insert_in_order( std::shared_ptr<target_entry> const& entry )
-    -> void
+/// Inserts at the sorted position. Sorting again after each insertion would
+/// take 0.28 s for 3,000 targets at startup instead of 0.003 s.
+auto load_table::insert_into_service(
+    std::shared_ptr<target_entry> const& entry ) -> void
 {
     auto& order = by_service_[entry->properties.service];
-    auto const at = std::lower_bound( order.begin(), order.end(), entry->rank,
-                                      []( auto const& t, std::uint64_t rank )
-                                      {
-                                          return t->rank < rank;
-                                      } );
-    order.insert( at, entry );
+    auto const position =
+        std::lower_bound( order.begin(), order.end(), entry->rank,
+                          []( auto const& other, std::uint64_t rank )
+                          {
+                              return other->rank < rank;
+                          } );
+    order.insert( position, entry );
 }
 
-auto load_table::erase_from_order( std::shared_ptr<target_entry> const& entry )
-    -> void
+auto load_table::erase_from_service(
+    std::shared_ptr<target_entry> const& entry ) -> void
 {
     std::erase( by_service_[entry->properties.service], entry );
 }
@@ -143,8 +145,9 @@
 auto load_table::find_lifetime( target_ref const& ref ) const
     -> std::shared_ptr<target_entry>
 {
-    auto const at = find( ref.id );
-    return at && at->properties.lifetime == ref.lifetime ? at : nullptr;
+    auto const entry = find( ref.id );
+    return entry && entry->properties.lifetime == ref.lifetime ? entry
+                                                               : nullptr;
 }
 
 auto load_table::find_by_name( std::string const& name ) const
@@ -173,8 +176,8 @@
     auto const found = arrivals_.find( id );
     if ( found == arrivals_.end() )
         return 0;
-    auto const age = core::seconds_of( now - found->second.at );
-    return found->second.per_second * std::exp( -age / rate_seconds );
+    auto const age = core::seconds_of( now - found->second.updated_at );
+    return found->second.per_second * std::exp( -age / rate_decay_seconds );
 }
 
 auto load_table::prefill_utilization( core::service_id const& id,
@@ -184,9 +187,9 @@
     auto const targets = static_cast<double>( of_service( id ).size() );
     if ( found == arrivals_.end() || targets == 0 )
         return 0;
-    auto const age = core::seconds_of( now - found->second.at );
-    return found->second.prefill_ms * std::exp( -age / reading_seconds ) /
-           ( reading_seconds * 1'000 * targets );
+    auto const age = core::seconds_of( now - found->second.updated_at );
+    return found->second.prefill_ms * std::exp( -age / prefill_decay_seconds ) /
+           ( prefill_decay_seconds * 1'000 * targets );
 }
 
 auto load_table::note_arrival( core::service_id const& id,
@@ -194,39 +197,41 @@
                                core::instant now ) -> void
 {
     auto& rate = arrivals_[id];
-    auto const age = core::seconds_of( now - rate.at );
-    rate.per_second =
-        rate.per_second * std::exp( -age / rate_seconds ) + 1 / rate_seconds;
-    rate.prefill_ms *= std::exp( -age / reading_seconds );
+    auto const age = core::seconds_of( now - rate.updated_at );
+    rate.per_second = rate.per_second * std::exp( -age / rate_decay_seconds ) +
+                      1 / rate_decay_seconds;
+    rate.prefill_ms *= std::exp( -age / prefill_decay_seconds );
     for ( auto const& part : work.parts )
         rate.prefill_ms += part.prefill_ms;
-    rate.at = now;
+    rate.updated_at = now;
 }
 
-auto load_table::count_prefill( known_work& known, core::instant now ) -> void
+auto load_table::count_prefill( tracked_work& tracked, core::instant now )
+    -> void
 {
-    known.prefill_counted = true;
-    for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
+    tracked.prefill_counted = true;
+    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
     {
-        if ( !known.at[i] )
+        if ( !tracked.targets[i] )
             continue;
-        auto& load = known.at[i]->load;
+        auto& load = tracked.targets[i]->load;
         ++load.parts_prefilling;
         load.own_parts_prefilling += i == 0 ? 1 : 0;
         load.prefill_until = std::max( load.prefill_until, now ) +
-                             ms_of( known.work.parts[i].prefill_ms );
+                             from_ms( tracked.work.parts[i].prefill_ms );
     }
 }
 
-auto load_table::uncount_prefill( known_work& known, core::instant now ) -> void
+auto load_table::uncount_prefill( tracked_work& tracked, core::instant now )
+    -> void
 {
-    if ( !std::exchange( known.prefill_counted, false ) )
+    if ( !std::exchange( tracked.prefill_counted, false ) )
         return;
-    for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
+    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
     {
-        if ( !known.at[i] )
+        if ( !tracked.targets[i] )
             continue;
-        auto& load = known.at[i]->load;
+        auto& load = tracked.targets[i]->load;
         --load.parts_prefilling;
         load.own_parts_prefilling -= i == 0 ? 1 : 0;
         if ( load.parts_prefilling <= 0 )
@@ -234,39 +239,41 @@
     }
 }
 
-auto load_table::count_sent( known_work const& known ) -> void
+auto load_table::count_sent( tracked_work const& tracked ) -> void
 {
-    for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
-        if ( known.at[i] )
-            known.at[i]->limit.note_sent( known.sent_at,
-                                          known.work.requests_at( i ) );
+    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
+        if ( tracked.targets[i] )
+            tracked.targets[i]->limit.note_sent(
+                tracked.sent_at, tracked.work.requests_at( i ) );
 }
 
-auto load_table::count_memory( known_work const& known, std::int64_t sign )
+auto load_table::count_memory( tracked_work const& tracked, std::int64_t sign )
     -> void
 {
-    for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
-        if ( known.at[i] )
-            known.at[i]->load.memory_tokens +=
-                sign * known.work.parts[i].memory_tokens;
+    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
+        if ( tracked.targets[i] )
+            tracked.targets[i]->load.memory_tokens +=
+                sign * tracked.work.parts[i].memory_tokens;
 }
 
-auto load_table::count_decoding( known_work const& known, std::int64_t sign )
-    -> void
+auto load_table::count_decoding( tracked_work const& tracked,
+                                 std::int64_t sign ) -> void
 {
-    if ( known.at.empty() || !known.at.front() )
+    if ( tracked.targets.empty() || !tracked.targets.front() )
         return;
-    auto& load = known.at.front()->load;
+    auto& load = tracked.targets.front()->load;
     load.decoding += sign;
-    load.context_tokens += sign * known.work.context_tokens;
+    load.context_tokens += sign * tracked.work.context_tokens;
 }
 
-auto load_table::lacks_known_target( known_work const& known ) const -> bool
+auto load_table::has_newly_known_target( tracked_work const& tracked ) const
+    -> bool
 {
-    for ( auto i = std::size_t{ 0 }; i < known.at.size(); ++i )
+    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
     {
-        auto const& part = known.work.parts[i];
-        if ( !known.at[i] && find_lifetime( { part.target, part.lifetime } ) )
+        auto const& part = tracked.work.parts[i];
+        if ( !tracked.targets[i] &&
+             find_lifetime( { part.target, part.lifetime } ) )
             return true;
     }
     return false;
@@ -276,13 +283,13 @@
                            open_work const& work,
                            core::instant now ) -> void
 {
-    auto const [at, is_new] = works_[owner].try_emplace(
-        work.serial, known_work{ work, {}, false, now - work.sent_ago } );
-    if ( !is_new && lacks_known_target( at->second ) )
+    auto const [position, is_new] = works_[owner].try_emplace(
+        work.serial, tracked_work{ work, {}, false, now - work.sent_ago } );
+    if ( !is_new && has_newly_known_target( position->second ) )
     {
-        // Told before the registry's records had come: counted now, or engines
-        // that read for seconds would seem free to a coordinator that has just
-        // started.
+        // The work was reported before the registry listed its target. It is
+        // added again, or engines busy with prefills of several seconds would
+        // seem free to a coordinator that has just started.
         end_work( owner, work.serial, now );
         return add_work( owner, work, now );
     }
@@ -292,24 +299,26 @@
             end_prefill( owner, work.serial, now );
         return;
     }
-    auto& known = at->second;
-    for ( auto const& part : known.work.parts )
-        known.at.push_back( find_lifetime( { part.target, part.lifetime } ) );
-    count_sent( known );
-    if ( known.work.prefilling )
-        count_prefill( known, now );
+    auto& tracked = position->second;
+    for ( auto const& part : tracked.work.parts )
+        tracked.targets.push_back(
+            find_lifetime( { part.target, part.lifetime } ) );
+    count_sent( tracked );
+    if ( tracked.work.prefilling )
+        count_prefill( tracked, now );
     else
-        count_decoding( known, 1 );
-    count_memory( known, 1 );
-    if ( known.at.empty() || !known.at.front() )
+        count_decoding( tracked, 1 );
+    count_memory( tracked, 1 );
+    if ( tracked.targets.empty() || !tracked.targets.front() )
         return;
-    note_arrival( known.at.front()->properties.service, known.work, now );
-    auto& load = known.at.front()->load;
+    note_arrival( tracked.targets.front()->properties.service, tracked.work,
+                  now );
+    auto& load = tracked.targets.front()->load;
     ++load.requests;
-    load.suspects += known.work.is_suspect ? 1 : 0;
-    auto& group = load.by_gap[known.work.tolerated_gap_ms];
+    load.suspects += tracked.work.is_suspect ? 1 : 0;
+    auto& group = load.by_tolerated_gap[tracked.work.tolerated_gap_ms];
     ++group.requests;
-    group.weight += weight_of( known.work.context_tokens );
+    group.weight += weight_of( tracked.work.context_tokens );
 }
 
 auto load_table::end_prefill( core::instance_id const& owner,
@@ -320,29 +329,30 @@
     auto const found = works.find( serial );
     if ( found == works.end() || !found->second.work.prefilling )
         return;
-    auto& known = found->second;
-    uncount_prefill( known, now );
-    known.work.prefilling = false;
-    count_decoding( known, 1 );
+    auto& tracked = found->second;
+    uncount_prefill( tracked, now );
+    tracked.work.prefilling = false;
+    count_decoding( tracked, 1 );
 }
 
-auto load_table::uncount( known_work& known, core::instant now ) -> void
+auto load_table::uncount( tracked_work& tracked, core::instant now ) -> void
 {
-    uncount_prefill( known, now );
-    if ( !known.work.prefilling )
-        count_decoding( known, -1 );
-    count_memory( known, -1 );
-    if ( known.at.empty() || !known.at.front() )
+    uncount_prefill( tracked, now );
+    if ( !tracked.work.prefilling )
+        count_decoding( tracked, -1 );
+    count_memory( tracked, -1 );
+    if ( tracked.targets.empty() || !tracked.targets.front() )
         return;
-    auto& load = known.at.front()->load;
+    auto& load = tracked.targets.front()->load;
     --load.requests;
-    load.suspects -= known.work.is_suspect ? 1 : 0;
-    auto const gap = load.by_gap.find( known.work.tolerated_gap_ms );
-    if ( gap == load.by_gap.end() )
+    load.suspects -= tracked.work.is_suspect ? 1 : 0;
+    auto const gap =
+        load.by_tolerated_gap.find( tracked.work.tolerated_gap_ms );
+    if ( gap == load.by_tolerated_gap.end() )
         return;
-    gap->second.weight -= weight_of( known.work.context_tokens );
+    gap->second.weight -= weight_of( tracked.work.context_tokens );
     if ( --gap->second.requests <= 0 )
-        load.by_gap.erase( gap );
+        load.by_tolerated_gap.erase( gap );
 }
 
 auto load_table::end_work( core::instance_id const& owner,
@@ -367,9 +377,9 @@
     auto const found = works->second.find( serial );
     if ( found == works->second.end() )
         return;
-    auto const& at = found->second.at;
-    if ( !at.empty() && at.front() )
-        note_success( at.front()->ref() );
+    auto const& targets = found->second.targets;
+    if ( !targets.empty() && targets.front() )
+        note_success( targets.front()->ref() );
     end_work( owner, serial, now );
 }
 
@@ -379,8 +389,8 @@
     auto const found = works_.find( owner );
     if ( found == works_.end() )
         return;
-    for ( auto& [serial, known] : found->second )
-        uncount( known, now );
+    for ( auto& [serial, tracked] : found->second )
+        uncount( tracked, now );
     works_.erase( found );
 }
 
@@ -392,33 +402,34 @@
     if ( found == works_.end() )
         return result;
     result.reserve( found->second.size() );
-    for ( auto const& [serial, known] : found->second )
+    for ( auto const& [serial, tracked] : found->second )
     {
-        result.push_back( known.work );
-        result.back().sent_ago = now - known.sent_at;
+        result.push_back( tracked.work );
+        result.back().sent_ago = now - tracked.sent_at;
     }
     return result;
 }
 
 auto load_table::note_failure( target_ref const& ref,
                                core::instant now,
-                               target_failure how ) -> bool
+                               target_failure failure ) -> bool
 {
-    auto const at = find_lifetime( ref );
-    if ( !at )
+    auto const entry = find_lifetime( ref );
+    if ( !entry )
         return false;
     auto const reported =
-        at->reported ? at->reported->running + at->reported->waiting : 0;
+        entry->reported ? entry->reported->running + entry->reported->waiting
+                        : 0;
     auto const is_full =
-        std::max( at->load.requests, reported ) >= at->properties.slots;
-    if ( how == target_failure::turned_away && is_full )
+        std::max( entry->load.requests, reported ) >= entry->properties.slots;
+    if ( failure == target_failure::turned_away && is_full )
         return false;
-    auto& health = at->health;
+    auto& health = entry->health;
     ++health.failures_in_a_row;
     health.failure_share =
         health.failure_share * failure_decay + ( 1 - failure_decay );
     auto const is_failing = health.failures_in_a_row >= failures_to_eject ||
-                            health.failure_share >= failing_share;
+                            health.failure_share >= failure_share_to_eject;
     if ( !is_failing )
         return false;
     auto const was_ejected = health.ejected_until > now;
@@ -428,27 +439,27 @@
 
 auto load_table::note_success( target_ref const& ref ) -> void
 {
-    auto const at = find_lifetime( ref );
-    if ( !at )
+    auto const entry = find_lifetime( ref );
+    if ( !entry )
         return;
-    at->health.failures_in_a_row = 0;
-    at->health.failure_share *= failure_decay;
+    entry->health.failures_in_a_row = 0;
+    entry->health.failure_share *= failure_decay;
 }
 
 auto load_table::note_announced_leaving( target_ref const& ref ) -> bool
 {
-    auto const at = find_lifetime( ref );
-    return at && !std::exchange( at->announced_leaving, true );
+    auto const entry = find_lifetime( ref );
+    return entry && !std::exchange( entry->announced_leaving, true );
 }
 
 auto load_table::note_limit( target_ref const& ref,
-                             limit_report const& what,
+                             limit_report const& report,
                              core::instant now ) -> limit_change
 {
-    auto const at = find_lifetime( ref );
-    if ( !at )
+    auto const entry = find_lifetime( ref );
+    if ( !entry )
         return limit_change::none;
-    auto const change = at->limit.take( what, now );
+    auto const change = entry->limit.take( report, now );
     if ( change == limit_change::named )
         limited_.insert( ref.id );
     return change;
@@ -458,55 +469,59 @@
                                      core::instant now ) -> void
 {
     for ( auto const& part : parts )
-        if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
-            at->limit.note_uncoordinated( now );
+        if ( auto const entry =
+                 find_lifetime( { part.target, part.lifetime } ) )
+            entry->limit.note_uncoordinated( now );
 }
 
 auto load_table::note_unreported( std::vector<work_part> const& parts,
                                   core::instant now ) -> void
 {
     for ( auto const& part : parts )
-        if ( auto const at = find_lifetime( { part.target, part.lifetime } ) )
-            at->limit.note_unreported( now );
+        if ( auto const entry =
+                 find_lifetime( { part.target, part.lifetime } ) )
+            entry->limit.note_unreported( now );
 }
 
 auto load_table::note_sent( target_ref const& ref,
                             std::vector<core::instant> const& times ) -> void
 {
-    auto const at = find_lifetime( ref );
-    if ( !at )
+    auto const entry = find_lifetime( ref );
+    if ( !entry )
         return;
     for ( auto const time : times )
-        at->limit.note_sent( time, 1 );
+        entry->limit.note_sent( time, 1 );
 }
 
 auto load_table::take_unreported( target_ref const& ref, core::instant now )
     -> std::vector<core::instant>
 {
-    auto const at = find_lifetime( ref );
-    return at ? at->limit.take_unreported( now ) : std::vector<core::instant>{};
+    auto const entry = find_lifetime( ref );
+    return entry ? entry->limit.take_unreported( now )
+                 : std::vector<core::instant>{};
 }
 
 auto load_table::limited() const -> std::vector<target_ref>
 {
     auto refs = std::vector<target_ref>{};
     for ( auto const& id : limited_ )
-        if ( auto const at = find( id ) )
-            refs.push_back( at->ref() );
+        if ( auto const entry = find( id ) )
+            refs.push_back( entry->ref() );
     return refs;
 }
 
 auto load_table::note_invalid_limit( target_ref const& ref ) -> bool
 {
-    auto const at = find_lifetime( ref );
-    return at && !std::exchange( at->reported_invalid_limit, true );
+    auto const entry = find_lifetime( ref );
+    return entry && !std::exchange( entry->reported_invalid_limit, true );
 }
 
 auto load_table::eject( target_ref const& ref, core::instant until ) -> void
 {
-    auto const at = find_lifetime( ref );
-    if ( at )
-        at->health.ejected_until = std::max( at->health.ejected_until, until );
+    auto const entry = find_lifetime( ref );
+    if ( entry )
+        entry->health.ejected_until =
+            std::max( entry->health.ejected_until, until );
 }
 
 auto load_table::pause( target_ref const& ref, core::instant until ) -> void
@@ -530,8 +545,8 @@
     auto all = std::vector<paused_target>{};
     for ( auto const& [id, until] : pauses_ )
     {
-        auto const at = find( id );
-        if ( until > now && at && at->properties.service == service )
+        auto const entry = find( id );
+        if ( until > now && entry && entry->properties.service == service )
             all.push_back( { id, until } );
     }
     return all;
@@ -541,11 +556,11 @@
                                      reported_load load,
                                      core::instant now ) -> void
 {
-    auto const at = find_lifetime( ref );
-    if ( !at )
+    auto const entry = find_lifetime( ref );
+    if ( !entry )
         return;
-    at->reported = load;
-    at->reported_at = now;
+    entry->reported = load;
+    entry->reported_at = now;
 }
 
 }
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -22,15 +22,15 @@
 namespace pollenstream::exchange
 {
 
-/// One lifetime of a target. A target may start again under the id that it had
-/// and then holds nothing of before, so that news of a former lifetime says
-/// nothing about this one.
+/// One lifetime of a target. A target that restarts keeps its id but none of
+/// its open work or memory, so updates of an earlier lifetime do not apply to
+/// a later one.
 struct target_ref
 {
     target_ref() = default;
-    // Implicit: where no lifetime is told, the id alone names the target.
-    target_ref( core::target_id which, core::target_lifetime of = {} )
-        : id( std::move( which ) ), lifetime( of )
+    // Implicit: without a reported lifetime, the id alone names the target.
+    target_ref( core::target_id target, core::target_lifetime lifetime_of = {} )
+        : id( std::move( target ) ), lifetime( lifetime_of )
     {
     }
 
@@ -41,7 +41,7 @@
         -> bool = default;
 };
 
-/// What the registry says of a target.
+/// What the registry's record of a target contains.
 struct target_properties
 {
     core::target_id id;
@@ -51,109 +51,111 @@
     core::data_centre_id data_centre;
     std::int64_t slots{ 1 };
     bool leaving{ false };
-    core::duration slow_for{ 0 }; ///< how long it stays slow after its start
+    core::duration slow_for{ 0 }; ///< remaining warm-up time after its start
 };
 
-/// One part of a request's work at one target.
+/// The part of a request's work that one target does.
 struct work_part
 {
     core::target_id target;
-    double prefill_ms{ 0 }; ///< reading that this part costs the target
-    std::int64_t memory_tokens{ 0 };  ///< taken up there until the work ends
+    double prefill_ms{ 0 }; ///< time that the target prefills for this part
+    std::int64_t memory_tokens{ 0 };  ///< held there until the work ends
     core::target_lifetime lifetime{}; ///< of the target, when it was chosen
 };
 
-/// A request that is open at targets, as its instance tells those who place
-/// prompts. The first part's target also writes the answer.
+/// A request that is open at targets, as its instance reports it to the
+/// coordinators. The target of the first part also decodes the answer.
 struct open_work
 {
     std::uint64_t serial{ 0 }; ///< unique within its instance's lifetime
     std::vector<work_part> parts;
     std::int64_t context_tokens{ 0 };
-    std::int64_t tolerated_gap_ms{ 0 }; ///< longest pause that is on time
-    bool prefilling{ true };            ///< the first event has not come yet
-    /// A run of the same content has broken off at another target that may
-    /// have ended by it.
+    std::int64_t tolerated_gap_ms{ 0 }; ///< longest gap between events allowed
+    bool prefilling{ true };            ///< the first event is outstanding
+    /// A run of the same content broke off at another target and may have
+    /// crashed it.
     bool is_suspect{ false };
-    /// Memory is set aside and given back at each target, by orders.
+    /// Memory is reserved and released at each target by separate calls.
     bool reserves{ false };
-    core::duration sent_ago{ 0 }; ///< when this was told
+    core::duration sent_ago{ 0 }; ///< age of the request at the report
 
-    /// Requests that a part means for its target: the first one's own, or what
-    /// the target reads for another, and the orders.
+    /// Number of requests that the target of a part is sent: one, or with
+    /// reservations the two calls that reserve and release memory and, at the
+    /// first part's target, the request itself.
     [[nodiscard]] auto requests_at( std::size_t part ) const -> std::size_t
     {
-        constexpr auto orders = std::size_t{ 2 };
+        constexpr auto reservation_calls = std::size_t{ 2 };
         if ( !reserves )
             return 1;
-        return part == 0 ? orders + 1 : orders;
+        return part == 0 ? reservation_calls + 1 : reservation_calls;
     }
 };
 
-/// Requests that tolerate pauses up to the same length.
-struct tolerant_group
+/// Requests that tolerate gaps between events up to the same length.
+struct gap_tolerance_group
 {
     std::int64_t requests{ 0 };
-    double weight{ 0 }; ///< sum of `weight_of` their prompts
+    double weight{ 0 }; ///< sum of the `weight_of` values of their prompts
 };
 
-/// What a request counts for beside others. Users value a generation by its
-/// size; the figures of their sheets (1.3 for 5,000 tokens, 3.1 for 45,000, 22
-/// for 210,000) lie near this line.
+/// Weight of a request relative to others. Users value a request by its
+/// prompt's size; this line approximates the weights that they state (1.3 for
+/// 5,000 tokens, 3.1 for 45,000, 22 for 210,000).
 constexpr auto weight_of( std::int64_t prompt_tokens ) -> double
 {
     constexpr auto tokens_per_weight = 10'000.0;
     return 1 + static_cast<double>( prompt_tokens ) / tokens_per_weight;
 }
 
-/// Load of one target: the open work there that this instance knows of, which
-/// is that of all instances where it places prompts for them.
+/// Load of one target: the open work there that this instance knows of. On a
+/// coordinator this is the work of all instances.
 struct target_load
 {
     std::int64_t requests{ 0 }; ///< of which the first part is here
-    std::int64_t suspects{ 0 }; ///< of these, that may end their targets
-    std::int64_t decoding{ 0 };
-    std::int64_t context_tokens{ 0 }; ///< of the writers
+    std::int64_t suspects{ 0 }; ///< of these, that may crash their targets
+    std::int64_t decoding{ 0 }; ///< of these, past their prefill
+    std::int64_t context_tokens{ 0 }; ///< of the requests that decode
     std::int64_t memory_tokens{ 0 };
     std::int64_t parts_prefilling{ 0 };
-    /// Of which parts of requests that are answered here. An engine reads
-    /// these after all parts that it reads for others.
+    /// Of these, parts of requests that are answered here. An engine prefills
+    /// them after all parts that it prefills as a helper.
     std::int64_t own_parts_prefilling{ 0 };
-    /// Requests answered here by the pause that they tolerate, in ms.
-    std::map<std::int64_t, tolerant_group> by_gap;
-    core::instant prefill_until; ///< when all reading is expected to be done
+    /// Requests answered here, by the gap that they tolerate, in ms.
+    std::map<std::int64_t, gap_tolerance_group> by_tolerated_gap;
+    core::instant prefill_until; ///< expected end of all prefills
 };
 
-/// In which way a target has failed a request.
+/// How an attempt at a target failed.
 enum class target_failure
 {
     failed,      ///< answered with a failure, or its connection broke
-    turned_away, ///< did not take it, which is none where it is full
+    turned_away, ///< rejected; does not count as a failure of a full target
 };
 
-/// How a target has answered lately.
+/// Recent failures of a target and its ejection.
 struct target_health
 {
     std::int64_t failures_in_a_row{ 0 };
-    double failure_share{ 0 }; ///< decaying, 0 to 1
+    double failure_share{ 0 }; ///< decaying average, 0 to 1
     core::instant ejected_until;
 };
 
-/// One target on the board.
+/// One target of the load table.
 struct target_entry
 {
     target_properties properties;
-    std::uint64_t rank{ 0 }; ///< same order on every instance
+    std::uint64_t rank{ 0 }; ///< sorts targets alike on every instance
     target_load load;
     target_health health;
     std::optional<reported_load> reported;
     core::instant reported_at;
-    bool gone{ false }; ///< not in the registry; its entry may come back
-    /// It said in an answer that it leaves. The registry hears of that later,
-    /// or not at all while the store is away, and does not take it back.
+    bool gone{ false }; ///< not in the registry; its record may return
+    /// An answer of the target announced that it leaves. The registry shows
+    /// this later, or not at all while the store is unavailable, and cannot
+    /// revoke it.
     bool announced_leaving{ false };
     request_limit limit;
-    bool reported_invalid_limit{ false }; ///< it named one that cannot be read
+    bool reported_invalid_limit{ false }; ///< one that cannot be parsed
 
     [[nodiscard]] auto ref() const -> target_ref
     {
@@ -163,60 +165,62 @@
     {
         return properties.leaving || announced_leaving;
     }
-    /// False once it leaves or has left.
+    /// False for a target that is leaving or no longer registered.
     [[nodiscard]] auto takes_work() const -> bool
     {
         return !is_leaving() && !gone;
     }
+    /// False also while the target is ejected.
     [[nodiscard]] auto may_get_work( core::instant now ) const -> bool
     {
         return takes_work() && health.ejected_until <= now;
     }
+    /// Time until all prefills there are expected to end.
     [[nodiscard]] auto backlog_ms( core::instant now ) const -> double;
 };
 
-/// A target that wants nothing from this instance for a time.
+/// A target that has asked this instance to send nothing until a given time.
 struct paused_target
 {
     core::target_id id;
     core::instant until;
 };
 
-/// What new facts about a target have changed.
+/// Effect of an update of a target's properties.
 enum class target_change
 {
-    none,      ///< known before, or news of a former lifetime
-    added,     ///< not known before
-    restarted, ///< a later lifetime under an id that was known
+    none,      ///< no change of these kinds, or an earlier lifetime's update
+    added,     ///< a new target
+    restarted, ///< a later lifetime of a known target
     starts_to_leave,
 };
 
-/// All targets with all open work on them, as far as this instance knows.
-/// Used by one thread.
+/// All targets and the open work at them, as far as this instance knows.
+/// Not thread-safe.
 class load_table
 {
 public:
     using target_map =
         std::unordered_map<core::target_id, std::shared_ptr<target_entry>>;
 
-    /// Adds a target or takes over what has changed of it. A later lifetime is
-    /// a new target: open work, memory, load and failures of the former one are
-    /// not counted on it. Facts of a former lifetime change nothing.
+    /// Adds a target or updates its properties. A later lifetime gets a new
+    /// entry, without the open work, memory, load and failures of the earlier
+    /// one. Properties of an earlier lifetime are ignored.
     auto put( target_properties properties ) -> target_change;
     auto remove( core::target_id const& id ) -> void;
-    /// The registry no longer lists the target: it gets no new work unless
-    /// its entry comes back.
+    /// The registry no longer lists the target: it gets no new work until its
+    /// record returns.
     auto mark_gone( core::target_id const& id ) -> void;
 
     [[nodiscard]] auto find( core::target_id const& id ) const
         -> std::shared_ptr<target_entry>;
-    /// Null where the target's present lifetime is another one.
+    /// Null if the target's current lifetime differs from that of `ref`.
     [[nodiscard]] auto find_lifetime( target_ref const& ref ) const
         -> std::shared_ptr<target_entry>;
-    /// The target that `name` means: its id, or its IP:PORT; null for neither.
+    /// The target with the id or the address (IP:PORT) `name`, or null.
     [[nodiscard]] auto find_by_name( std::string const& name ) const
         -> std::shared_ptr<target_entry>;
-    /// Targets of a service in the order of their ranks.
+    /// Targets of a service, sorted by rank.
     [[nodiscard]] auto of_service( core::service_id const& id ) const
         -> std::vector<std::shared_ptr<target_entry>> const&;
     [[nodiscard]] auto all() const -> target_map const&
@@ -224,7 +228,7 @@
         return by_id_;
     }
 
-    /// Wide prompts that wait for a decision here.
+    /// Split prompts that wait for a placement decision on this instance.
     [[nodiscard]] auto split_prompts() -> split_queue&
     {
         return split_prompts_;
@@ -233,32 +237,33 @@
     {
         return split_prompts_;
     }
-    /// Requests a second that all instances have lately sent to a service,
-    /// over about a second.
+    /// Requests per second that all instances send to a service, averaged over
+    /// about the last second.
     [[nodiscard]] auto arrivals_per_second( core::service_id const& id,
                                             core::instant now ) const -> double;
 
-    /// Share of the time of a service's targets that all instances have lately
-    /// given to reading, over about two seconds; over 1 where it queues.
+    /// Share of the time of a service's targets that the prefills sent by all
+    /// instances take, averaged over about the last two seconds. It exceeds 1
+    /// if more prefill work arrives than the targets can do.
     [[nodiscard]] auto prefill_utilization( core::service_id const& id,
                                             core::instant now ) const -> double;
 
-    /// Counts `work` of the instance `owner`.
+    /// Adds `work` of the instance `owner` to the load of its targets.
     auto add_work( core::instance_id const& owner,
                    open_work const& work,
                    core::instant now ) -> void;
-    /// The first event of the work has come.
+    /// The first event of the work has arrived.
     auto end_prefill( core::instance_id const& owner,
                       std::uint64_t serial,
                       core::instant now ) -> void;
     auto end_work( core::instance_id const& owner,
                    std::uint64_t serial,
                    core::instant now ) -> void;
-    /// The same, and the target that answered did so well.
+    /// Ends the work and notes a success of the target that answered.
     auto end_served_work( core::instance_id const& owner,
                           std::uint64_t serial,
                           core::instant now ) -> void;
-    /// Forgets all work of `owner`, which has ended, and what waits there.
+    /// Removes all work of `owner`, an instance that has ended.
     auto end_all_work( core::instance_id const& owner, core::instant now )
         -> void;
     /// The work that is known of `owner`.
@@ -266,23 +271,24 @@
                                  core::instant now ) const
         -> std::vector<open_work>;
 
-    /// Takes over how an attempt ended. Returns true where the target is
-    /// shunned from now on and was not before. These change nothing where
-    /// `ref` is a former lifetime.
+    /// Notes a failed attempt. Returns true if this ejects a target that was
+    /// not ejected before. Like all functions below that take a `target_ref`,
+    /// it does nothing for an earlier lifetime.
     auto note_failure( target_ref const& ref,
                        core::instant now,
-                       target_failure how = target_failure::failed ) -> bool;
+                       target_failure failure = target_failure::failed )
+        -> bool;
     auto note_success( target_ref const& ref ) -> void;
-    /// The target has said in an answer that it leaves; true where that is
-    /// news.
+    /// The target has announced in an answer that it leaves. Returns true the
+    /// first time.
     auto note_announced_leaving( target_ref const& ref ) -> bool;
-    /// An answer of the target says how many requests a second it takes, or
-    /// names no limit.
+    /// Takes over the limit of requests per second that an answer of the target
+    /// reports, or that it reports none.
     auto note_limit( target_ref const& ref,
-                     limit_report const& what,
+                     limit_report const& report,
                      core::instant now ) -> limit_change;
-    /// The target has named a limit that cannot be read; true where that is
-    /// news.
+    /// The target has reported a limit that cannot be parsed. Returns true the
+    /// first time.
     auto note_invalid_limit( target_ref const& ref ) -> bool;
     auto set_limit_shares( limit_shares const& shares ) -> void
     {
@@ -292,34 +298,38 @@
     {
         return shares_;
     }
-    /// False where a limit that the target names keeps requests from it now.
+    /// False if the target's reported limit forbids a request now.
     [[nodiscard]] auto may_send( target_entry const& target,
                                  limit_use use,
                                  core::instant now ) const -> bool
     {
         return target.limit.next( use, shares_ ) <= now;
     }
-    /// This instance sends `parts` without having asked who places for all.
+    /// This instance sends `parts` without a grant of a coordinator.
     auto note_uncoordinated( std::vector<work_part> const& parts,
                              core::instant now ) -> void;
-    /// This instance sends `parts` and tells nobody.
+    /// This instance sends `parts` without reporting it to other instances.
     auto note_unreported( std::vector<work_part> const& parts,
                           core::instant now ) -> void;
-    /// Others have sent the target requests of which they told nobody before.
+    /// Counts requests that other instances sent the target at `times` and did
+    /// not report until now.
     auto note_sent( target_ref const& ref,
                     std::vector<core::instant> const& times ) -> void;
-    /// When this instance sent the target what it told nobody; given once.
+    /// Times at which this instance sent the target unreported requests. Each
+    /// is returned only once.
     auto take_unreported( target_ref const& ref, core::instant now )
         -> std::vector<core::instant>;
-    /// Targets of which a limit, or its end, has been heard.
+    /// Targets that have reported a limit, including those whose limit has
+    /// ended since.
     [[nodiscard]] auto limited() const -> std::vector<target_ref>;
     auto eject( target_ref const& ref, core::instant until ) -> void;
-    /// The target wants nothing from this instance until then. Others may send
-    /// there, so that it is no part of what the target is for all.
+    /// The target has asked this instance to send nothing before `until`. The
+    /// pause concerns this instance only, so it is not part of the entry that
+    /// placement for all instances uses.
     auto pause( target_ref const& ref, core::instant until ) -> void;
     [[nodiscard]] auto is_paused( target_ref const& ref,
                                   core::instant now ) const -> bool;
-    /// Targets of the service that are paused now, with the end of each pause.
+    /// Targets of the service that are paused now, with the ends of the pauses.
     [[nodiscard]] auto paused( core::service_id const& service,
                                core::instant now ) const
         -> std::vector<paused_target>;
@@ -328,42 +338,44 @@
                              core::instant now ) -> void;
 
 private:
-    /// Work with the targets on which it is counted; null where a target was
-    /// not known when the work was told.
-    struct known_work
+    /// Work and the entries whose load includes it, one for each part; null if
+    /// the target was unknown when the work was added.
+    struct tracked_work
     {
         open_work work;
-        std::vector<std::shared_ptr<target_entry>> at;
+        std::vector<std::shared_ptr<target_entry>> targets;
         bool prefill_counted{ false };
         core::instant sent_at;
     };
-    using work_map = std::unordered_map<std::uint64_t, known_work>;
+    using work_map = std::unordered_map<std::uint64_t, tracked_work>;
 
-    /// Arrivals that lose weight with their age.
+    /// Exponentially decaying averages of the work sent to a service.
     struct arrival_rate
     {
         double per_second{ 0 };
-        core::instant at;
-        double prefill_ms{ 0 }; ///< of these, losing weight more slowly
+        core::instant updated_at;
+        double prefill_ms{ 0 }; ///< decays more slowly than the rate
     };
 
-    /// True where a target was not known when the work was told, and is now.
-    [[nodiscard]] auto lacks_known_target( known_work const& known ) const
-        -> bool;
+    /// True if a target was unknown when the work was added and is known now.
+    [[nodiscard]] auto
+    has_newly_known_target( tracked_work const& tracked ) const -> bool;
     auto note_arrival( core::service_id const& id,
                        open_work const& work,
                        core::instant now ) -> void;
-    auto count_prefill( known_work& known, core::instant now ) -> void;
-    auto uncount_prefill( known_work& known, core::instant now ) -> void;
-    static auto count_sent( known_work const& known ) -> void;
-    static auto count_memory( known_work const& known, std::int64_t sign )
+    auto count_prefill( tracked_work& tracked, core::instant now ) -> void;
+    auto uncount_prefill( tracked_work& tracked, core::instant now ) -> void;
+    static auto count_sent( tracked_work const& tracked ) -> void;
+    static auto count_memory( tracked_work const& tracked, std::int64_t sign )
+        -> void;
+    static auto count_decoding( tracked_work const& tracked, std::int64_t sign )
+        -> void;
+    auto uncount( tracked_work& tracked, core::instant now ) -> void;
+    auto insert_into_service( std::shared_ptr<target_entry> const& entry )
         -> void;
-    static auto count_decoding( known_work const& known, std::int64_t sign )
+    auto erase_from_service( std::shared_ptr<target_entry> const& entry )
         -> void;
-    auto uncount( known_work& known, core::instant now ) -> void;
-    auto insert_in_order( std::shared_ptr<target_entry> const& entry ) -> void;
-    auto erase_from_order( std::shared_ptr<target_entry> const& entry ) -> void;
-    auto set_entry( target_properties properties ) -> void;
+    auto replace_entry( target_properties properties ) -> void;
 
     target_map by_id_;
     std::unordered_map<core::service_id,
@@ -372,9 +384,9 @@
     std::unordered_map<core::instance_id, work_map> works_;
     std::unordered_map<core::service_id, arrival_rate> arrivals_;
     split_queue split_prompts_;
-    /// Few, and none as a rule: looked at for each request.
+    /// Usually empty; searched for each request.
     std::unordered_map<core::target_id, core::instant> pauses_;
-    std::set<core::target_id> limited_; ///< few, and none as a rule
+    std::set<core::target_id> limited_; ///< usually empty
     limit_shares shares_;
 };
 
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -185,7 +185,7 @@
     CHECK( m1->load.requests == 0 );
     CHECK( m1->load.decoding == 0 );
     CHECK( m1->load.memory_tokens == 0 );
-    CHECK( m1->load.by_gap.empty() );
+    CHECK( m1->load.by_tolerated_gap.empty() );
     auto const m2 = loads.find( core::target_id( "m2" ) );
     CHECK( m2->load.parts_prefilling == 0 );
     CHECK( m2->load.memory_tokens == 0 );
