--- a/src/pollenstream/exchange/crash_history.cpp
+++ b/src/pollenstream/exchange/crash_history.cpp
@@ -13,35 +13,37 @@
 
 using namespace std::chrono_literals;
 
-/// A crash counts this long. Callers repeat a request for as long as it is
-/// theirs; engines may have another version after some time.
-constexpr auto kept_time = core::duration( 10min );
-/// Contents that are remembered; an end breaks as many as a target has slots.
-constexpr auto most_contents = std::size_t{ 2'048 };
+/// How long a crash is remembered: long enough to cover the repeats of a
+/// caller, but limited, as engines may run another version after some time.
+constexpr auto retention_time = core::duration( 10min );
+/// Number of contents that are remembered. One crash of a target adds up to as
+/// many as it has slots.
+constexpr auto max_contents = std::size_t{ 2'048 };
 
 }
 
-crash_history::crash_history( core::duration lapse_time )
-    : lapse_time_( lapse_time )
+crash_history::crash_history( core::duration expiry_time )
+    : expiry_time_( expiry_time )
 {
 }
 
-auto crash_history::make_room() -> void
+auto crash_history::evict_if_full() -> void
 {
-    if ( runs_.size() < most_contents )
+    if ( runs_.size() < max_contents )
         return;
-    // What has broken least often, and of that the oldest.
-    auto const worth = []( auto const& entry )
+    // The content with the fewest crashes goes, of these the oldest.
+    auto const eviction_key = []( auto const& entry )
     {
         return std::pair( entry.second.size(), entry.second.back().at );
     };
-    auto const least = std::min_element( runs_.begin(), runs_.end(),
-                                         [&]( auto const& a, auto const& b )
-                                         {
-                                             return worth( a ) < worth( b );
-                                         } );
-    proven_.erase( least->first );
-    runs_.erase( least );
+    auto const victim =
+        std::min_element( runs_.begin(), runs_.end(),
+                          [&]( auto const& a, auto const& b )
+                          {
+                              return eviction_key( a ) < eviction_key( b );
+                          } );
+    quarantined_.erase( victim->first );
+    runs_.erase( victim );
 }
 
 auto crash_history::erase_runs(
@@ -51,37 +53,37 @@
     {
         std::erase_if( at->second, which );
         if ( at->second.size() < crashes_to_quarantine )
-            proven_.erase( at->first );
+            quarantined_.erase( at->first );
         at = at->second.empty() ? runs_.erase( at ) : std::next( at );
     }
 }
 
-auto crash_history::note_crash( crashed_run const& what ) -> void
+auto crash_history::note_crash( crashed_run const& run ) -> void
 {
-    auto const served = served_.find( what.content );
-    if ( served != served_.end() && what.at <= served->second )
+    auto const served = served_.find( run.content );
+    if ( served != served_.end() && run.at <= served->second )
         return;
-    auto const alive = alive_until_.find( what.target.id );
-    if ( alive != alive_until_.end() && what.at < alive->second )
+    auto const alive = alive_until_.find( run.target.id );
+    if ( alive != alive_until_.end() && run.at < alive->second )
         return;
-    if ( !runs_.contains( what.content ) )
-        make_room();
-    auto& runs = runs_[what.content];
+    if ( !runs_.contains( run.content ) )
+        evict_if_full();
+    auto& runs = runs_[run.content];
     for ( auto const& known : runs )
-        if ( known.target == what.target )
+        if ( known.target == run.target )
             return;
-    runs.push_back( what );
-    auto& broken = broken_at_[what.target.id];
-    broken = std::max( broken, what.at );
-    if ( awaits_proof( what.content ) && on_suspected )
-        on_suspected( what );
+    runs.push_back( run );
+    auto& last_crash = last_crash_at_[run.target.id];
+    last_crash = std::max( last_crash, run.at );
+    if ( awaits_confirmation( run.content ) && on_confirmation_needed )
+        on_confirmation_needed( run );
 }
 
-auto crash_history::prove( content_id content ) -> void
+auto crash_history::confirm( content_id content ) -> void
 {
-    if ( !awaits_proof( content ) )
+    if ( !awaits_confirmation( content ) )
         return;
-    proven_.insert( content );
+    quarantined_.insert( content );
     if ( on_quarantined )
         on_quarantined( content );
 }
@@ -100,7 +102,7 @@
 
 auto crash_history::note_served( content_id content, core::instant at ) -> bool
 {
-    proven_.erase( content );
+    quarantined_.erase( content );
     if ( runs_.erase( content ) == 0 )
         return false;
     served_[content] = at;
@@ -110,36 +112,36 @@
 auto crash_history::note_answer( target_ref const& target, core::instant sent )
     -> void
 {
-    auto const broken = broken_at_.find( target.id );
-    if ( broken == broken_at_.end() || broken->second >= sent )
+    auto const last_crash = last_crash_at_.find( target.id );
+    if ( last_crash == last_crash_at_.end() || last_crash->second >= sent )
         return;
-    broken_at_.erase( broken );
+    last_crash_at_.erase( last_crash );
     note_alive( target, sent );
 }
 
-auto crash_history::review( core::instant now, is_listed const& listed ) -> void
+auto crash_history::prune( core::instant now, is_listed const& listed ) -> void
 {
     erase_runs(
         [&]( auto const& run )
         {
             auto const age = now - run.at;
-            if ( age <= lapse_time_ || !listed( run.target ) )
-                return age > kept_time;
-            // Others may still tell of the break.
+            if ( age <= expiry_time_ || !listed( run.target ) )
+                return age > retention_time;
+            // Other instances may still report this crash.
             auto& alive = alive_until_[run.target.id];
-            alive = std::max( alive, now - lapse_time_ );
+            alive = std::max( alive, now - expiry_time_ );
             return true;
         } );
-    for ( auto* const times : { &broken_at_, &alive_until_ } )
+    for ( auto* const times : { &last_crash_at_, &alive_until_ } )
         std::erase_if( *times,
                        [&]( auto const& entry )
                        {
-                           return now - entry.second > kept_time;
+                           return now - entry.second > retention_time;
                        } );
     std::erase_if( served_,
                    [&]( auto const& entry )
                    {
-                       return now - entry.second > kept_time;
+                       return now - entry.second > retention_time;
                    } );
 }
 
@@ -159,7 +161,7 @@
 auto crash_history::quarantined() const -> std::vector<crashed_run>
 {
     auto found = std::vector<crashed_run>{};
-    for ( auto const content : proven_ )
+    for ( auto const content : quarantined_ )
     {
         auto const& runs = runs_.at( content );
         found.insert( found.end(), runs.begin(), runs.end() );
@@ -169,7 +171,7 @@
 
 auto crash_history::quarantined_contents() const -> std::size_t
 {
-    return proven_.size();
+    return quarantined_.size();
 }
 
 auto crash_history::all() const -> std::vector<crashed_run>
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -173,7 +173,7 @@
     refresh_demand( now );
     // Its next run tells whether it ends its targets: one at a time.
     is_held_back_ =
-        owner_.crashes_.awaits_proof( request.content ) ||
+        owner_.crashes_.awaits_confirmation( request.content ) ||
         ( request.demand.crashes + 1 >= crash_history::crashes_to_quarantine &&
           owner_.runs_now( request.content ) );
     if ( is_held_back_ )
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -27,7 +27,7 @@
 
 auto quarantine::start() -> void
 {
-    context_.crashes.on_suspected = [this]( auto const& last )
+    context_.crashes.on_confirmation_needed = [this]( auto const& last )
     {
         look_at( last );
     };
@@ -51,7 +51,7 @@
 {
     auto const at = context_.loads.find_lifetime( last.target );
     if ( !at || at->gone )
-        return context_.crashes.prove( last.content );
+        return context_.crashes.confirm( last.content );
     probe_.probe( at->properties.address,
                   [this, last, lives = std::weak_ptr( lives_ )]( auto listens )
                   {
@@ -61,7 +61,7 @@
                           context_.crashes.note_alive(
                               last.target, context_.scheduler.now() );
                       else
-                          context_.crashes.prove( last.content );
+                          context_.crashes.confirm( last.content );
                       context_.queue.poke();
                   } );
 }
@@ -119,7 +119,7 @@
         auto const at = context_.loads.find_lifetime( target );
         return is_current && at && !at->gone;
     };
-    context_.crashes.review( context_.scheduler.now(), is_listed );
+    context_.crashes.prune( context_.scheduler.now(), is_listed );
     lift_cleared();
 }
 
--- a/src/pollenstream/registry/quarantine_records.cpp
+++ b/src/pollenstream/registry/quarantine_records.cpp
@@ -106,7 +106,7 @@
     recorded_.insert( content );
     for ( auto const& run : runs.value() )
         crashes_.note_crash( run );
-    crashes_.prove( content );
+    crashes_.confirm( content );
 }
 
 }
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -263,7 +263,7 @@
         // It is still to be seen whether the third target has ended.
         CHECK( second->grants.empty() );
         CHECK( second->refusals.empty() );
-        f.crashes.prove( content );
+        f.crashes.confirm( content );
         f.scheduler.run( 30ms );
         REQUIRE( second->refusals.size() == 1 );
         CHECK( second->refusals[0].retry_after == 0ms );
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -46,7 +46,7 @@
             s.f.crashes.note_crash( { content,
                                       { core::target_id( id ), {} },
                                       s.f.scheduler.now() } );
-        s.f.crashes.prove( content );
+        s.f.crashes.confirm( content );
         s.fall_silent();
     }
     CHECK_FALSE( s.f.answer->aborted );
--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -628,9 +628,9 @@
                               } );
     };
     for ( auto const& one : fleet.all )
-        one->crashes.on_suspected = [&one]( auto const& last )
+        one->crashes.on_confirmation_needed = [&one]( auto const& last )
         {
-            one->crashes.prove( last.content );
+            one->crashes.confirm( last.content );
         };
     // Each of three instances has seen one end; none of them all three.
     for ( auto i = std::size_t{ 0 }; i < 3; ++i )
