--- a/src/pollenstream/exchange/request_content.cpp
+++ b/src/pollenstream/exchange/request_content.cpp
@@ -11,8 +11,8 @@
 auto content_of( caller_request const& request,
                  core::workspace_id const& workspace ) -> content_id
 {
-    // The hash of each part is the seed of the next, so that text that moves
-    // from one part to its neighbour gives another id.
+    // The hash of each part is the seed for the next, so that moving text from
+    // one part to its neighbour changes the id.
     auto hash = std::uint64_t{ 0 };
     for ( auto const* part : { &workspace.str(), &request.method, &request.host,
                                &request.target, &request.body } )
--- a/src/pollenstream/exchange/request_content.hpp
+++ b/src/pollenstream/exchange/request_content.hpp
@@ -9,17 +9,17 @@
 namespace pollenstream::exchange
 {
 
-/// Names what a caller asks for over all of its tries, at whichever instance:
-/// two requests with the same content id do the same at a target. Zero names
-/// none.
+/// Hash of what a request asks for. It is the same for all retries by a caller
+/// at any instance: requests with the same content id make a target do the same
+/// work. Zero means none.
 using content_id = core::strong_number<struct content_id_tag>;
 
-/// Of the caller's workspace, the method, the host, the path with its query,
-/// and the body. Headers that differ between tries are left out.
+/// Hashes the caller's workspace, the method, the host, the path with its query
+/// and the body. Headers are left out, as some differ between retries.
 auto content_of( caller_request const& request,
                  core::workspace_id const& workspace ) -> content_id;
 
-/// 16 hexadecimal digits, as in logs.
+/// The id as 16 hexadecimal digits, as it appears in logs.
 auto to_string( content_id id ) -> std::string;
 
 }
--- a/tests/exchange/request_content_test.cpp
+++ b/tests/exchange/request_content_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace tests;
 
-TEST_CASE( "what a caller asks for has one id over all of its tries",
+TEST_CASE( "all retries of a request have the same content id",
            "[exchange][content]" )
 {
     auto f = exchange_fixture{};
@@ -13,33 +13,33 @@
     auto first = f.request( "/chat/a?b=1" );
     first.body = "prompt";
     auto const id = exchange::content_of( first, workspace );
-    auto again = f.request( "/chat/a?b=1" );
-    again.body = "prompt";
-    again.time_limit = std::chrono::seconds( 1 );
-    again.last_event = 3;
-    REQUIRE( first.id != again.id );
-    CHECK( exchange::content_of( again, workspace ) == id );
+    auto retry = f.request( "/chat/a?b=1" );
+    retry.body = "prompt";
+    retry.time_limit = std::chrono::seconds( 1 );
+    retry.last_event = 3;
+    REQUIRE( first.id != retry.id );
+    CHECK( exchange::content_of( retry, workspace ) == id );
 
-    SECTION( "another body is another content" )
+    SECTION( "another body gives another id" )
     {
-        again.body = "prompt2";
-        CHECK( exchange::content_of( again, workspace ) != id );
+        retry.body = "prompt2";
+        CHECK( exchange::content_of( retry, workspace ) != id );
     }
-    SECTION( "so is another query" )
+    SECTION( "another query gives another id" )
     {
-        again.target = "/chat/a?b=2";
-        CHECK( exchange::content_of( again, workspace ) != id );
+        retry.target = "/chat/a?b=2";
+        CHECK( exchange::content_of( retry, workspace ) != id );
     }
-    SECTION( "so is another caller's" )
+    SECTION( "another workspace gives another id" )
     {
-        CHECK( exchange::content_of( again, core::workspace_id( "other" ) ) !=
+        CHECK( exchange::content_of( retry, core::workspace_id( "other" ) ) !=
                id );
     }
-    SECTION( "text that moves from the path to the body gives another id" )
+    SECTION( "moving text from the path to the body gives another id" )
     {
-        again.target = "/chat/a?b=";
-        again.body = "1prompt";
-        CHECK( exchange::content_of( again, workspace ) != id );
+        retry.target = "/chat/a?b=";
+        retry.body = "1prompt";
+        CHECK( exchange::content_of( retry, workspace ) != id );
     }
     CHECK( exchange::to_string( id ).size() == 16 );
 }
