--- a/src/pollenstream/exchange/event_splitter.cpp
+++ b/src/pollenstream/exchange/event_splitter.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/// Length of the blank line that starts at `at`, or 0 where there is none.
-auto blank_line_at( std::string_view text, std::size_t at ) -> std::size_t
+/// Length of the line end and blank line that start at `at`, or 0.
+auto blank_line_length( std::string_view text, std::size_t at ) -> std::size_t
 {
     if ( text.substr( at, 2 ) == "\n\n" )
         return 2;
@@ -19,7 +19,7 @@
     return 0;
 }
 
-auto read_id( std::string_view event ) -> std::optional<std::int64_t>
+auto parse_id( std::string_view event ) -> std::optional<std::int64_t>
 {
     constexpr auto field = std::string_view( "id:" );
     auto at = std::size_t{ 0 };
@@ -48,7 +48,7 @@
     -> std::vector<stream_event>
 {
     auto events = std::vector<stream_event>{};
-    // A blank line may begin with the last two bytes that were there before.
+    // A blank line may start with the last two bytes of the earlier ones.
     constexpr auto overlap = std::size_t{ 2 };
     auto from = pending_.size() > overlap ? pending_.size() - overlap : 0;
     pending_ += bytes;
@@ -56,16 +56,16 @@
     for ( auto at = pending_.find( '\n', from ); at != std::string::npos;
           at = pending_.find( '\n', at ) )
     {
-        auto const blank = blank_line_at( pending_, at );
+        auto const blank = blank_line_length( pending_, at );
         if ( blank == 0 )
         {
             ++at;
             continue;
         }
         auto const end = at + blank;
-        auto whole = pending_.substr( start, end - start );
-        auto const id = read_id( whole );
-        events.push_back( { std::move( whole ), id } );
+        auto event = pending_.substr( start, end - start );
+        auto const id = parse_id( event );
+        events.push_back( { std::move( event ), id } );
         start = end;
         at = end;
     }
--- a/src/pollenstream/exchange/event_splitter.hpp
+++ b/src/pollenstream/exchange/event_splitter.hpp
@@ -9,22 +9,22 @@
 namespace pollenstream::exchange
 {
 
-/// One whole server-sent event with its blank line.
+/// One complete server-sent event, including its terminating blank line.
 struct stream_event
 {
     std::string bytes;
     std::optional<std::int64_t> id;
 };
 
-/// Cuts a stream of server-sent events into whole events. What comes after
-/// the last whole event stays back, so that half an event never goes on.
+/// Splits a stream of server-sent events into complete events. Buffers an
+/// incomplete event at the end, so that callers never receive a part of one.
 class event_splitter
 {
 public:
-    /// Takes `bytes` and gives the events that are whole now.
+    /// Appends `bytes` and returns the events that are complete now.
     auto take( std::string const& bytes ) -> std::vector<stream_event>;
 
-    /// Bytes of an event that is not whole yet.
+    /// Number of buffered bytes of an incomplete event.
     [[nodiscard]] auto pending() const -> std::size_t
     {
         return pending_.size();
