--- a/src/pollenstream/adapters/asio/caller_connection.cpp
+++ b/src/pollenstream/adapters/asio/caller_connection.cpp
@@ -47,9 +47,9 @@
     {
         connection_->start_stream( number_, status, headers );
     }
-    auto send_piece( std::string bytes ) -> void override
+    auto send_chunk( std::string bytes ) -> void override
     {
-        connection_->send_piece( number_, bytes );
+        connection_->send_chunk( number_, bytes );
     }
     auto end_stream() -> void override
     {
@@ -101,9 +101,10 @@
     ++number_;
     parser_.emplace();
     parser_->eager( true );
-    parser_->header_limit( static_cast<std::uint32_t>( limits_.header_bytes ) );
-    parser_->body_limit( limits_.body_bytes );
-    arm( limits_.idle_time );
+    parser_->header_limit(
+        static_cast<std::uint32_t>( limits_.max_header_bytes ) );
+    parser_->body_limit( limits_.max_body_bytes );
+    arm( limits_.idle_timeout );
 }
 
 auto caller_connection::read() -> void
@@ -147,7 +148,7 @@
         if ( phase_ == phase::idle )
         {
             phase_ = phase::head;
-            arm( limits_.header_time );
+            arm( limits_.header_timeout );
         }
         auto ec = error_code{};
         auto const used = parser_->put( buffer_.data(), ec );
@@ -171,7 +172,7 @@
 auto caller_connection::on_head() -> bool
 {
     phase_ = phase::body;
-    arm( limits_.header_time * body_time_factor );
+    arm( limits_.header_timeout * body_time_factor );
     auto const& head = parser_->get();
     auto const coding = head[http::field::transfer_encoding];
     if ( !coding.empty() && !boost::beast::iequals( coding, "chunked" ) )
@@ -275,7 +276,7 @@
     write( write_stream_head( status, headers, request_keeps_alive_ ) );
 }
 
-auto caller_connection::send_piece( std::uint64_t number,
+auto caller_connection::send_chunk( std::uint64_t number,
                                     std::string const& bytes ) -> void
 {
     if ( is_current( number ) && !bytes.empty() )
--- a/src/pollenstream/adapters/asio/caller_connection.hpp
+++ b/src/pollenstream/adapters/asio/caller_connection.hpp
@@ -35,7 +35,7 @@
     auto start_stream( std::uint64_t number,
                        int status,
                        exchange::header_list const& headers ) -> void;
-    auto send_piece( std::uint64_t number, std::string const& bytes ) -> void;
+    auto send_chunk( std::uint64_t number, std::string const& bytes ) -> void;
     auto end_stream( std::uint64_t number ) -> void;
     auto abort( std::uint64_t number ) -> void;
     [[nodiscard]] auto unsent_bytes() const -> std::size_t
--- a/src/pollenstream/exchange/context.hpp
+++ b/src/pollenstream/exchange/context.hpp
@@ -84,9 +84,9 @@
 struct exchange_context
 {
     ports::scheduler& scheduler;
-    target_caller& targets;
+    target_client& targets;
     request_encoder const& encoder;
-    reservation_caller& reservations;
+    reservation_client& reservations;
     load_table& loads;
     crash_history& crashes;
     placement& chooser;           ///< for what this instance places by itself
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -137,7 +137,7 @@
     if ( !std::exchange( streaming_, true ) )
         answer_->start_stream( current_->head->status,
                                current_->head->headers );
-    answer_->send_piece( std::move( events ) );
+    answer_->send_chunk( std::move( events ) );
 }
 
 /// Takes one event into account; an event that the caller has already is
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -26,8 +26,8 @@
 {
     auto const& target = from.target;
     shared_.crashes.note_answer( target, from.sent_at );
-    if ( head.wants_pause > core::duration( 0 ) )
-        shared_.loads.pause( target, from.heard_at + head.wants_pause );
+    if ( head.requested_pause > core::duration( 0 ) )
+        shared_.loads.pause( target, from.heard_at + head.requested_pause );
     note_told_limit( from, head );
     for ( auto const& name : head.unknown_headers )
         if ( shared_.counters.unknown_headers.add( name ) )
@@ -84,9 +84,9 @@
 {
     auto const& head = *from.head;
     auto const now = shared_.scheduler.now();
-    auto const named = head.at_fault.empty()
+    auto const named = head.failed_target.empty()
                            ? nullptr
-                           : shared_.loads.find_by_name( head.at_fault );
+                           : shared_.loads.find_by_name( head.failed_target );
     auto to_blame = named ? named->ref() : from.target;
     if ( head.wrong_target || to_blame != from.target )
     {
--- a/src/pollenstream/exchange/exchange_waiting.cpp
+++ b/src/pollenstream/exchange/exchange_waiting.cpp
@@ -170,7 +170,7 @@
     if ( !grant.choice.needs_reservation )
         return send( grant, nullptr );
     auto const& choice = grant.choice;
-    auto places = std::vector<reservation_place>{};
+    auto places = std::vector<target_memory>{};
     for ( auto i = std::size_t{ 0 }; i < choice.targets.size(); ++i )
         places.push_back( { choice.targets[i]->properties.id,
                             choice.targets[i]->properties.address,
--- a/src/pollenstream/exchange/message.hpp
+++ b/src/pollenstream/exchange/message.hpp
@@ -17,7 +17,8 @@
 namespace pollenstream::exchange
 {
 
-/// Names one try of a caller at one request; a caller's retry has its own.
+/// Identifies one attempt of a caller at a request; each retry by the caller
+/// has its own id.
 using attempt_id = core::strong_id<struct attempt_id_tag>;
 
 struct header_field
@@ -27,31 +28,31 @@
 };
 using header_list = std::vector<header_field>;
 
-/// A prompt as the caller describes it.
+/// Sizes of a prompt and its answer, as the caller states them.
 struct prompt_properties
 {
     std::int64_t prompt_tokens{ 0 };
     std::int64_t max_output_tokens{ 0 };
-    std::int64_t expected_output_tokens{ 0 }; ///< 0: not told
+    std::int64_t expected_output_tokens{ 0 }; ///< 0: not stated
 };
 
-/// A caller's request, read whole.
+/// A complete request of a caller.
 struct caller_request
 {
     attempt_id id;
     std::string method;
-    std::string target; ///< path with query, passed on unchanged
+    std::string target; ///< path with query, forwarded unchanged
     std::string host;
-    std::string key;     ///< the caller's secret; never passed on
-    header_list headers; ///< end-to-end headers that are passed on unchanged
+    std::string key;     ///< the caller's API key, never forwarded
+    header_list headers; ///< end-to-end headers, forwarded unchanged
     std::string body;
     std::optional<core::duration> time_limit;
-    std::optional<std::int64_t> last_event; ///< the caller has events up to it
+    std::optional<std::int64_t> last_event; ///< last one the caller received
     std::optional<prompt_properties> prompt;
     core::instant received;
 };
 
-/// An answer that is written as a whole.
+/// An answer that is not streamed.
 struct whole_answer
 {
     int status{ 200 };
@@ -59,8 +60,8 @@
     std::string body;
 };
 
-/// Where one caller's answer goes. The channel is used for one answer; calls
-/// after the caller has gone do nothing.
+/// Sends one answer to a caller. Calls have no effect once the caller has
+/// disconnected.
 class answer_channel
 {
 public:
@@ -68,15 +69,16 @@
 
     virtual auto send_whole( whole_answer answer ) -> void = 0;
     virtual auto start_stream( int status, header_list headers ) -> void = 0;
-    virtual auto send_piece( std::string bytes ) -> void = 0;
+    virtual auto send_chunk( std::string bytes ) -> void = 0;
     virtual auto end_stream() -> void = 0;
-    /// Closes so that the answer cannot be taken for a complete one.
+    /// Closes the connection such that the caller recognizes the answer as
+    /// incomplete.
     virtual auto abort() -> void = 0;
-    /// Bytes accepted and not yet taken by the caller's connection.
+    /// Bytes accepted but not yet written to the caller's connection.
     [[nodiscard]] virtual auto unsent_bytes() const -> std::size_t = 0;
 };
 
-/// The load that a target tells with its answers.
+/// The load that a target reports with its answers.
 struct reported_load
 {
     std::int64_t running{ 0 };
@@ -84,35 +86,36 @@
     std::int64_t slots{ 0 };
 };
 
-/// Start of a target's answer.
+/// Status and headers of a target's answer, and what they report.
 struct answer_head
 {
     int status{ 0 };
-    header_list headers; ///< end-to-end headers, passed back unchanged
-    bool proves_not_run{ false };
-    bool wrong_target{ false };      ///< another instance has the address
-    bool has_seal{ false };          ///< carries the target's digest
-    std::string at_fault;            ///< the target that made the work fail
-    bool announces_leaving{ false }; ///< the target takes no new work
-    /// For how long the target wants nothing from this instance.
-    core::duration wants_pause{ 0 };
+    header_list headers;          ///< end-to-end headers, forwarded unchanged
+    bool proves_not_run{ false }; ///< the request has not been executed
+    bool wrong_target{ false };   ///< another target has the address now
+    bool has_seal{ false };       ///< has the digest header Server-Seal
+    std::string failed_target;    ///< the target that caused a failure
+    bool announces_leaving{ false }; ///< the target accepts no new work
+    /// How long this instance should send the target nothing.
+    core::duration requested_pause{ 0 };
     std::optional<reported_load> load;
-    /// Requests a second that the target takes from all instances together.
+    /// Requests per second that the target accepts from all instances together.
     std::optional<double> limit;
-    /// It names a limit that is no number from zero up, or several that differ.
+    /// The limit is not a non-negative number, or several differing limits are
+    /// given.
     bool has_invalid_limit{ false };
     std::vector<std::string> unknown_headers; ///< names, in lower case
 };
 
-/// One request on its way to one target.
+/// A request as it is sent to one target.
 struct outgoing_request
 {
     attempt_id id;
     core::target_id target;
-    core::target_lifetime lifetime; ///< connections of a former one are dead
+    core::target_lifetime lifetime; ///< earlier ones' connections are closed
     core::address address;
-    std::shared_ptr<std::string const> text; ///< head and body as sent
-    bool fresh_connection{ false };          ///< use no kept connection
+    std::shared_ptr<std::string const> text; ///< encoded head and body
+    bool fresh_connection{ false };          ///< do not reuse a connection
     bool is_get{ false };
 };
 
@@ -120,11 +123,12 @@
 struct attempt_end
 {
     bool complete{ false };
-    core::error error;  ///< where not complete
+    core::error error;  ///< if not complete
     bool sent{ false }; ///< bytes may have reached the target
 };
 
-/// Receives what a target answers, ending with one `on_end` unless cancelled.
+/// Receives the answer of a target: at most one `on_head`, any number of
+/// `on_body`, and one `on_end` unless the attempt is cancelled.
 class attempt_listener
 {
 public:
@@ -139,28 +143,28 @@
 {
 public:
     virtual ~open_attempt() = default;
-    /// Closes the connection, which stops the target's work. No further calls
-    /// reach the listener.
+    /// Closes the connection, upon which the target stops its work. The
+    /// listener is not called any more.
     virtual auto cancel() -> void = 0;
-    /// True once bytes of the request may have left.
+    /// True once bytes of the request may have been sent.
     [[nodiscard]] virtual auto sent() const -> bool = 0;
 };
 
 /// Sends requests to targets.
-class target_caller
+class target_client
 {
 public:
-    virtual ~target_caller() = default;
+    virtual ~target_client() = default;
     virtual auto send( outgoing_request request,
                        std::shared_ptr<attempt_listener> listener )
         -> std::shared_ptr<open_attempt> = 0;
 };
 
-/// Finds out whether a process takes connections at an address.
+/// Checks whether a process accepts connections at an address.
 class target_probe
 {
 public:
-    /// Nothing where it cannot be told.
+    /// Receives no value if the check was inconclusive.
     using done = std::function<void( std::optional<bool> listens )>;
 
     virtual ~target_probe() = default;
@@ -168,25 +172,25 @@
         -> void = 0;
 };
 
-/// A target that reads a part of the prompt, with the memory held there.
+/// A target that prefills a part of the prompt, and the memory reserved there.
 struct helper_target
 {
     core::address address;
-    core::reservation_id memory; ///< empty: none is held
+    core::reservation_id memory; ///< empty if none is reserved
 };
 
-/// What the target is told beside the caller's own headers.
+/// What a request tells its target in addition to the caller's headers.
 struct target_directions
 {
     core::target_id target;
     core::duration time_left{ 0 };
-    core::workspace_id workspace;           ///< empty: none
-    std::optional<std::int64_t> last_event; ///< go on behind this event
-    std::optional<int> urgency;             ///< 0 is first
+    core::workspace_id workspace;           ///< empty if unknown
+    std::optional<std::int64_t> last_event; ///< resume after this event
+    std::optional<int> urgency;             ///< 0 is the most urgent
     std::vector<helper_target> helpers;
 };
 
-/// Spells requests to targets on the wire.
+/// Encodes requests to targets for the wire.
 class request_encoder
 {
 public:
--- a/src/pollenstream/exchange/reservation.cpp
+++ b/src/pollenstream/exchange/reservation.cpp
@@ -11,38 +11,37 @@
 
 using namespace std::chrono_literals;
 
-/// One hold. Shorter than the time after which operators count memory without
-/// a request as lost (4 s on the first deployments): what a process that was
-/// killed held, or an order that a target carries out late, frees itself.
+/// How long a target holds memory without a renewal. Operators count memory
+/// without a request as lost after 4 s, so a reservation has to expire earlier
+/// if its instance was killed or the target processed the call late.
 constexpr auto hold_time = core::duration( 3500ms );
-/// A hold in use is renewed after this, so that one renewal may be lost.
+/// Less than half of the hold time, so that one renewal may be lost.
 constexpr auto renewal_period = core::duration( 1500ms );
-/// Tries of a renewal that fails, within its period.
-constexpr auto renewal_tries = 3;
-constexpr auto renewal_pause = core::duration( 300ms );
-/// Tries to give memory back before its hold has to do it.
-constexpr auto release_tries = 3;
-constexpr auto release_pause = core::duration( 300ms );
+/// Attempts at one renewal, all within one renewal period.
+constexpr auto max_renewal_attempts = 3;
+constexpr auto renewal_retry_delay = core::duration( 300ms );
+/// Attempts at a release before the reservation is left to expire.
+constexpr auto max_release_attempts = 3;
+constexpr auto release_retry_delay = core::duration( 300ms );
 
 }
 
-reservation_group::reservation_group( reservation_caller& caller,
+reservation_group::reservation_group( reservation_client& client,
                                       ports::scheduler& scheduler,
                                       core::reservation_id id,
-                                      std::vector<reservation_place> places,
-                                      core::duration longest_hold )
-    : caller_( caller ), scheduler_( scheduler ), id_( std::move( id ) ),
-      places_( std::move( places ) ),
-      hold_( std::min( hold_time, longest_hold ) )
+                                      std::vector<target_memory> targets,
+                                      core::duration max_hold )
+    : client_( client ), scheduler_( scheduler ), id_( std::move( id ) ),
+      targets_( std::move( targets ) ), hold_( std::min( hold_time, max_hold ) )
 {
 }
 
-auto reservation_group::start( ready callback ) -> void
+auto reservation_group::start( ready_callback callback ) -> void
 {
     callback_ = std::move( callback );
-    pending_ = places_.size();
-    for ( auto const& place : places_ )
-        caller_.reserve( place, id_, hold_,
+    pending_ = targets_.size();
+    for ( auto const& target : targets_ )
+        client_.reserve( target, id_, hold_,
                          [self = shared_from_this()]( auto status )
                          {
                              self->on_reserved( status );
@@ -74,8 +73,8 @@
 
 auto reservation_group::renew() -> void
 {
-    for ( auto i = std::size_t{ 0 }; i < places_.size(); ++i )
-        renew_at( i, renewal_tries );
+    for ( auto i = std::size_t{ 0 }; i < targets_.size(); ++i )
+        renew_at( i, max_renewal_attempts );
     renewal_ = scheduler_.call_after( renewal_period,
                                       [this]
                                       {
@@ -83,41 +82,42 @@
                                       } );
 }
 
-/// A hold that ends cuts the request that uses it.
-auto reservation_group::renew_at( std::size_t index, int tries ) -> void
+/// Retries a failed renewal, as the target aborts a request whose reservation
+/// expires.
+auto reservation_group::renew_at( std::size_t index, int attempts ) -> void
 {
     if ( released_ )
         return;
-    caller_.reserve(
-        places_[index], id_, hold_,
-        retry( &reservation_group::renew_at, index, tries, renewal_pause ) );
+    client_.reserve( targets_[index], id_, hold_,
+                     retry( &reservation_group::renew_at, index, attempts,
+                            renewal_retry_delay ) );
 }
 
 auto reservation_group::retry( void ( reservation_group::*again )( std::size_t,
                                                                    int ),
                                std::size_t index,
-                               int tries,
-                               core::duration pause )
-    -> reservation_caller::done
+                               int attempts,
+                               core::duration delay )
+    -> reservation_client::done
 {
-    return [self = shared_from_this(), again, index, tries,
-            pause]( auto const& status )
+    return [self = shared_from_this(), again, index, attempts,
+            delay]( auto const& status )
     {
-        if ( !status.has_error() || tries <= 1 )
+        if ( !status.has_error() || attempts <= 1 )
             return;
-        self->call_later( pause,
-                          [self, again, index, tries]
+        self->call_later( delay,
+                          [self, again, index, attempts]
                           {
-                              ( *self.*again )( index, tries - 1 );
+                              ( *self.*again )( index, attempts - 1 );
                           } );
     };
 }
 
-auto reservation_group::call_later( core::duration pause,
+auto reservation_group::call_later( core::duration delay,
                                     std::function<void()> callback ) -> void
 {
     auto holder = std::make_shared<std::unique_ptr<ports::scheduled_call>>();
-    *holder = scheduler_.call_after( pause,
+    *holder = scheduler_.call_after( delay,
                                      [holder, callback = std::move( callback )]
                                      {
                                          auto const call = std::move( *holder );
@@ -131,15 +131,15 @@
         return;
     callback_ = nullptr;
     renewal_.reset();
-    for ( auto i = std::size_t{ 0 }; i < places_.size(); ++i )
-        release_at( i, release_tries );
+    for ( auto i = std::size_t{ 0 }; i < targets_.size(); ++i )
+        release_at( i, max_release_attempts );
 }
 
-auto reservation_group::release_at( std::size_t index, int tries ) -> void
+auto reservation_group::release_at( std::size_t index, int attempts ) -> void
 {
-    caller_.release(
-        places_[index], id_,
-        retry( &reservation_group::release_at, index, tries, release_pause ) );
+    client_.release( targets_[index], id_,
+                     retry( &reservation_group::release_at, index, attempts,
+                            release_retry_delay ) );
 }
 
 }
--- a/src/pollenstream/exchange/reservation.hpp
+++ b/src/pollenstream/exchange/reservation.hpp
@@ -16,48 +16,53 @@
 namespace pollenstream::exchange
 {
 
-/// Memory to be held at one target.
-struct reservation_place
+/// Memory to reserve at one target.
+struct target_memory
 {
     core::target_id target;
     core::address address;
     std::int64_t tokens{ 0 };
 };
 
-/// Calls that set memory aside at targets and give it back.
-class reservation_caller
+/// Client for the targets' calls that reserve and release memory.
+class reservation_client
 {
 public:
     using done = std::function<void( core::result<void> )>;
 
-    virtual ~reservation_caller() = default;
-    /// Holds memory under `id` for `hold`, counted from its arrival; a second
-    /// call with the same id renews it. Error `conflict`: no room.
-    virtual auto reserve( reservation_place const& place,
+    virtual ~reservation_client() = default;
+    /// Reserves memory under `id` for `hold`, counted from the arrival of the
+    /// call. A further call with the same id renews the reservation. The error
+    /// is `conflict` if the target lacks the memory.
+    virtual auto reserve( target_memory const& memory,
                           core::reservation_id const& id,
                           core::duration hold,
                           done callback ) -> void = 0;
-    virtual auto release( reservation_place const& place,
+    virtual auto release( target_memory const& memory,
                           core::reservation_id const& id,
                           done callback ) -> void = 0;
 };
 
-/// Memory of one request at several targets: all of it or none. It is given
-/// back on every way out; what cannot be given back expires with its hold.
+/// Memory of one request at several targets, reserved at all of them or none.
+/// Reservations are renewed until `release`, which every end of a request
+/// calls; one that cannot be released expires when its hold time ends.
 class reservation_group : public std::enable_shared_from_this<reservation_group>
 {
 public:
-    using ready = std::function<void( core::result<void> )>;
+    using ready_callback = std::function<void( core::result<void> )>;
 
-    reservation_group( reservation_caller& caller,
+    reservation_group( reservation_client& client,
                        ports::scheduler& scheduler,
                        core::reservation_id id,
-                       std::vector<reservation_place> places,
-                       core::duration longest_hold );
+                       std::vector<target_memory> targets,
+                       core::duration max_hold );
 
-    /// Calls `callback` once: with success when all targets hold.
-    auto start( ready callback ) -> void;
-    /// Gives everything back. May be called at any time, and more than once.
+    /// Reserves the memory. Calls `callback` once: with success when all
+    /// targets have reserved, or with the first error. Does not call it after
+    /// `release`.
+    auto start( ready_callback callback ) -> void;
+    /// Releases the memory at all targets. May be called at any time and more
+    /// than once.
     auto release() -> void;
 
     [[nodiscard]] auto id() const -> core::reservation_id const&
@@ -68,23 +73,24 @@
 private:
     auto on_reserved( core::result<void> const& status ) -> void;
     auto renew() -> void;
-    auto renew_at( std::size_t index, int tries ) -> void;
-    /// What follows an order that failed: `again` with one try less.
+    auto renew_at( std::size_t index, int attempts ) -> void;
+    /// Returns a callback that, if the call failed, calls `again` after
+    /// `delay` with one attempt less.
     auto retry( void ( reservation_group::*again )( std::size_t, int ),
                 std::size_t index,
-                int tries,
-                core::duration pause ) -> reservation_caller::done;
-    /// Calls after `pause`; the call keeps the group.
-    auto call_later( core::duration pause, std::function<void()> callback )
+                int attempts,
+                core::duration delay ) -> reservation_client::done;
+    /// Calls `callback` after `delay`; keeps the group alive until then.
+    auto call_later( core::duration delay, std::function<void()> callback )
         -> void;
-    auto release_at( std::size_t index, int tries ) -> void;
+    auto release_at( std::size_t index, int attempts ) -> void;
 
-    reservation_caller& caller_;
+    reservation_client& client_;
     ports::scheduler& scheduler_;
     core::reservation_id id_;
-    std::vector<reservation_place> places_;
+    std::vector<target_memory> targets_;
     core::duration hold_;
-    ready callback_;
+    ready_callback callback_;
     std::size_t pending_{ 0 };
     std::unique_ptr<ports::scheduled_call> renewal_;
     bool released_{ false };
--- a/src/pollenstream/exchange/routes.cpp
+++ b/src/pollenstream/exchange/routes.cpp
@@ -17,7 +17,7 @@
 auto route_configuration::index_routes() -> void
 {
     by_host_.clear();
-    index_gaps();
+    index_gap_objectives();
     for ( auto i = std::size_t{ 0 }; i < routes.size(); ++i )
         by_host_[routes[i].host].push_back( i );
     for ( auto& [host, indexes] : by_host_ )
@@ -28,7 +28,7 @@
                    } );
 }
 
-auto route_configuration::index_gaps() -> void
+auto route_configuration::index_gap_objectives() -> void
 {
     min_gap_objective_.clear();
     for ( auto const& r : routes )
--- a/src/pollenstream/exchange/routes.hpp
+++ b/src/pollenstream/exchange/routes.hpp
@@ -16,41 +16,41 @@
 namespace pollenstream::exchange
 {
 
-/// Names one route of the configuration.
+/// Identifies a route of the configuration.
 using route_id = core::strong_id<struct route_id_tag>;
 
-/// What may be repeated of a request.
+/// Whether and how a request may be repeated.
 enum class request_kind
 {
     safe,   ///< may run any number of times
     unsafe, ///< may run once
-    stream, ///< a series of events; runs once unless the route resumes streams
+    stream, ///< streams events; runs once unless the route is resumable
 };
 
-/// One service of a route with its part of the traffic.
+/// A service of a route and its relative share of the traffic.
 struct weighted_service
 {
     core::service_id service;
     double weight{ 1 };
 };
 
-/// How one path prefix of one host is served.
+/// How requests to one path prefix of one host are served.
 struct route
 {
     route_id id;
     std::string host;
     std::string prefix; ///< begins and ends with a slash
     request_kind kind{ request_kind::unsafe };
-    bool resumable{ false };     ///< a stream may go on at another target
-    core::duration timeout{ 0 }; ///< longest time a caller is kept waiting
+    bool resumable{ false };     ///< a stream may resume at another target
+    core::duration timeout{ 0 }; ///< for the whole request
     core::duration latency_objective{ 0 };
-    core::duration gap_objective{ 0 }; ///< longest pause between events
-    int priority{ 0 };                 ///< 0 is first
-    std::int64_t max_targets{ 1 };     ///< targets that one request may reach
-    bool is_public{ false };           ///< needs no key
+    core::duration gap_objective{ 0 }; ///< longest gap between events
+    int priority{ 0 };                 ///< 0 is the most urgent
+    std::int64_t max_targets{ 1 };     ///< targets that one request may try
+    bool is_public{ false };           ///< needs no API key
     std::vector<weighted_service> services;
 
-    /// True where a second run does no harm.
+    /// True if a request may run more than once.
     [[nodiscard]] auto is_idempotent() const -> bool
     {
         return kind == request_kind::safe ||
@@ -58,50 +58,49 @@
     }
 };
 
-/// How fast the engines of a service work; all times in milliseconds.
+/// Capacity and speed of the engines of a service.
 struct engine_speed
 {
-    std::int64_t slots{ 1 };           ///< requests at once
-    std::int64_t memory_tokens{ 0 };   ///< KV memory
-    double step_ms{ 1 };               ///< one token step of an empty batch
-    double step_ms_per_request{ 0 };   ///< added by each request that writes
+    std::int64_t slots{ 1 };           ///< concurrent requests
+    std::int64_t memory_tokens{ 0 };   ///< size of the KV cache
+    double step_ms{ 1 };               ///< decode step of an empty batch
+    double step_ms_per_request{ 0 };   ///< added by each request that decodes
     double step_ms_per_k_context{ 0 }; ///< added by 1,000 tokens of context
     double prefill_tokens_per_ms{ 1 };
-    double prefill_ms_per_m_pairs{ 0 }; ///< a million pairs of tokens
-    std::int64_t prefill_chunk{ 1 };    ///< tokens read in one step at most
+    double prefill_ms_per_m_pairs{ 0 }; ///< per million pairs of tokens
+    std::int64_t prefill_chunk{ 1 };    ///< most tokens prefilled per step
     std::int64_t steps_per_pass{ 1 };
-    double hop_ms{ 0 }; ///< added to a step where the prompt is spread
+    double hop_ms{ 0 }; ///< added to each step of a split prompt
     double typical_prompt_tokens{ 0 };
     double typical_output_tokens{ 0 };
 };
 
-/// What the configuration says of a service.
+/// Configuration of a service.
 struct service_settings
 {
     core::service_id id;
     std::string health_path;
-    std::int64_t max_connections{ 0 };  ///< to each target, over all callers
+    std::int64_t max_connections{ 0 };  ///< to each target, for all callers
     std::optional<engine_speed> engine; ///< absent for a plain service
 };
 
-/// What callers may send and how long they may take.
+/// Limits on the size of callers' requests and on the time to send them.
 struct caller_limits
 {
-    std::uint64_t header_bytes{ 16'384 };
-    std::uint64_t body_bytes{ 4'194'304 };
-    core::duration header_time{ std::chrono::seconds( 3 ) };
-    core::duration idle_time{ std::chrono::seconds( 15 ) };
+    std::uint64_t max_header_bytes{ 16'384 };
+    std::uint64_t max_body_bytes{ 4'194'304 };
+    core::duration header_timeout{ std::chrono::seconds( 3 ) };
+    core::duration idle_timeout{ std::chrono::seconds( 15 ) };
 };
 
-/// A customer with the rank that goes before a route's.
+/// A workspace and the priority that overrides that of the routes.
 struct workspace_settings
 {
     core::workspace_id id;
     std::optional<int> priority;
 };
 
-/// The operators' configuration of one version. It does not change once it
-/// has been read.
+/// One version of the operators' configuration, immutable once loaded.
 class route_configuration
 {
 public:
@@ -109,29 +108,29 @@
     std::vector<route> routes;
     std::map<core::service_id, service_settings> services;
     caller_limits limits;
-    bool needs_keys{ false }; ///< requests carry a key
+    bool needs_keys{ false }; ///< requests need an API key
 
-    /// Adds a workspace with its keys.
+    /// Adds a workspace with its API keys.
     auto add_workspace( workspace_settings settings,
                         std::vector<std::string> const& keys ) -> void;
-    /// Has to be called once after `routes` is filled.
+    /// Builds the indexes. Has to be called once `routes` is filled.
     auto index_routes() -> void;
 
-    /// The route with the longest prefix of `path` at `host`, or null.
+    /// The route of `host` with the longest matching prefix of `path`, or null.
     [[nodiscard]] auto find_route( std::string_view host,
                                    std::string_view path ) const
         -> route const*;
     [[nodiscard]] auto find_workspace( std::string const& key ) const
         -> workspace_settings const*;
-    /// The shortest pause objective of the streams that `id` serves; zero
-    /// where it serves none.
+    /// The shortest gap objective of the streams that the service serves; zero
+    /// if it serves none.
     [[nodiscard]] auto min_gap_objective( core::service_id const& id ) const
         -> core::duration;
     [[nodiscard]] auto find_service( core::service_id const& id ) const
         -> service_settings const*;
 
 private:
-    auto index_gaps() -> void;
+    auto index_gap_objectives() -> void;
 
     std::unordered_map<std::string, std::vector<std::size_t>> by_host_;
     std::unordered_map<core::service_id, core::duration> min_gap_objective_;
--- a/standins/platform/runner.cpp
+++ b/standins/platform/runner.cpp
@@ -174,11 +174,11 @@
                            std::to_string( id ) + "\n\n";
         if ( id == breaks_at_ )
         {
-            answer_->send_piece( event.substr( 0, event.size() / 2 ) );
+            answer_->send_chunk( event.substr( 0, event.size() / 2 ) );
             return break_off();
         }
         record().last_event_ms = owner_.now_ms();
-        answer_->send_piece( event );
+        answer_->send_chunk( event );
         if ( id >= owner_.settings_.events )
         {
             answer_->end_stream();
--- a/tests/exchange/pause_test.cpp
+++ b/tests/exchange/pause_test.cpp
@@ -19,7 +19,7 @@
     auto head = exchange::answer_head{};
     head.status = 503;
     head.proves_not_run = true;
-    head.wants_pause = pause;
+    head.requested_pause = pause;
     request.listener->on_head( std::move( head ) );
     request.complete();
 }
--- a/tests/exchange/reservation_test.cpp
+++ b/tests/exchange/reservation_test.cpp
@@ -8,180 +8,185 @@
 namespace
 {
 
-/// An audit that is larger than one engine's memory, sent by a caller.
-auto start_large( exchange_fixture& f ) -> std::shared_ptr<exchange::exchange>
+/// Starts a request whose prompt exceeds one engine's memory.
+auto start_split_request( exchange_fixture& f )
+    -> std::shared_ptr<exchange::exchange>
 {
     auto r = f.request( "/audit/x" );
     r.time_limit = 15s;
     r.prompt = exchange::prompt_properties{ 500'000, 1'000, 0 };
-    // Three engines read half a million tokens in about four seconds: the
-    // last chance before the caller leaves.
+    // Three engines prefill 500,000 tokens in about four seconds, so the
+    // request has to be placed by now to end within its time limit.
     auto started = f.start( r );
     f.scheduler.run( 9'500ms );
     return started;
 }
 
-auto grant_all( exchange_fixture& f ) -> void
+/// Lets all reservation calls so far succeed.
+auto complete_all( exchange_fixture& f ) -> void
 {
-    auto const orders = f.reservations.reserved;
-    for ( auto const& order : orders )
-        order.callback( core::success() );
+    auto const calls = f.reservations.reserved;
+    for ( auto const& call : calls )
+        call.callback( core::success() );
 }
 
 }
 
-TEST_CASE( "a prompt over one engine's memory is held by several",
-           "[reservation]" )
+TEST_CASE(
+    "a prompt that exceeds one engine's memory reserves memory at several",
+    "[reservation]" )
 {
     auto f = exchange_fixture{};
     for ( auto i = 4; i < 10; ++i )
         f.loads.put( make_target( "m" + std::to_string( i ), "model" ) );
-    auto const large = start_large( f );
+    auto const split_request = start_split_request( f );
     REQUIRE( f.reservations.reserved.size() >= 2 );
     CHECK( f.targets.all.empty() );
-    grant_all( f );
+    complete_all( f );
     REQUIRE( f.targets.all.size() == 1 );
-    auto const places = f.reservations.reserved.size();
+    auto const reserved = f.reservations.reserved.size();
     auto tokens = std::int64_t{ 0 };
-    for ( auto const& order : f.reservations.reserved )
+    for ( auto const& call : f.reservations.reserved )
     {
-        tokens += order.place.tokens;
-        CHECK( order.place.tokens < 450'000 );
-        CHECK( f.targets.all[0]->request.text->find( "/" + order.id.str() ) !=
+        tokens += call.place.tokens;
+        CHECK( call.place.tokens < 450'000 );
+        CHECK( f.targets.all[0]->request.text->find( "/" + call.id.str() ) !=
                std::string::npos );
     }
     CHECK( tokens >= 501'000 );
 
-    SECTION( "everything is given back when the answer is whole" )
+    SECTION( "all memory is released when the answer is complete" )
     {
         f.targets.all[0]->head( 200 );
         f.targets.all[0]->event( 1 );
         f.targets.all[0]->complete();
     }
-    SECTION( "everything is given back when the caller leaves" )
+    SECTION( "all memory is released when the caller disconnects" )
     {
-        large->on_caller_gone();
+        split_request->on_caller_gone();
     }
-    SECTION( "everything is given back when the process ends" )
+    SECTION( "all memory is released when the process ends" )
     {
-        large->abandon( "process_ends" );
+        split_request->abandon( "process_ends" );
     }
-    SECTION( "everything is given back when the time is over" )
+    SECTION( "all memory is released when the time limit is reached" )
     {
         f.scheduler.run( 15s );
     }
-    CHECK( f.reservations.released.size() == places );
-    for ( auto const& order : f.reservations.released )
-        order.callback( core::success() );
+    CHECK( f.reservations.released.size() == reserved );
+    for ( auto const& call : f.reservations.released )
+        call.callback( core::success() );
 }
 
-TEST_CASE( "where one target has no room the others get theirs back",
+TEST_CASE( "a reservation that fails at one target is released at all",
            "[reservation]" )
 {
     auto scheduler = held_scheduler{};
-    auto caller = recorded_reservations{};
-    auto const places = std::vector<exchange::reservation_place>{
+    auto client = recorded_reservations{};
+    auto const targets = std::vector<exchange::target_memory>{
         { core::target_id( "m1" ), {}, 100 },
         { core::target_id( "m2" ), {}, 100 } };
     auto result = std::optional<bool>{};
     auto const group = std::make_shared<exchange::reservation_group>(
-        caller, scheduler, core::reservation_id( "r" ), places, 20s );
+        client, scheduler, core::reservation_id( "r" ), targets, 20s );
     group->start(
         [&]( auto status )
         {
             result = !status.has_error();
         } );
-    REQUIRE( caller.reserved.size() == 2 );
-    CHECK( caller.reserved[0].hold <= 3'500ms );
-    caller.reserved[0].callback( core::success() );
+    REQUIRE( client.reserved.size() == 2 );
+    CHECK( client.reserved[0].hold <= 3'500ms );
+    client.reserved[0].callback( core::success() );
     CHECK_FALSE( result );
-    caller.reserved[1].callback(
+    client.reserved[1].callback(
         core::error{ core::error_code::conflict, "full" } );
     REQUIRE( result );
     CHECK_FALSE( *result );
-    CHECK( caller.released.size() == 2 );
+    CHECK( client.released.size() == 2 );
 }
 
-TEST_CASE( "a hold in use is renewed at its own pace", "[reservation]" )
+TEST_CASE( "the renewal period does not depend on the hold time",
+           "[reservation]" )
 {
     auto scheduler = held_scheduler{};
-    auto caller = recorded_reservations{};
-    auto const places = std::vector<exchange::reservation_place>{
+    auto client = recorded_reservations{};
+    auto const targets = std::vector<exchange::target_memory>{
         { core::target_id( "m1" ), {}, 100 } };
-    // A request with little time left; its hold is short.
+    // The hold time is short, as for a request that is close to its deadline.
     auto const group = std::make_shared<exchange::reservation_group>(
-        caller, scheduler, core::reservation_id( "r" ), places, 700ms );
+        client, scheduler, core::reservation_id( "r" ), targets, 700ms );
     group->start( []( auto ) {} );
-    caller.reserved[0].callback( core::success() );
+    client.reserved[0].callback( core::success() );
     scheduler.run( 6s );
-    // Orders cost the target: five in six seconds, not thousands.
-    CHECK( caller.reserved.size() == 5 );
+    // Each call is work for the target, so a short hold time must not cause
+    // more renewals.
+    CHECK( client.reserved.size() == 5 );
     group->release();
     scheduler.run( 6s );
-    CHECK( caller.reserved.size() == 5 );
+    CHECK( client.reserved.size() == 5 );
 }
 
-TEST_CASE( "a renewal that fails is made again before the hold ends",
+TEST_CASE( "a failed renewal is retried before the reservation expires",
            "[reservation]" )
 {
     auto scheduler = held_scheduler{};
-    auto caller = recorded_reservations{};
-    auto const places = std::vector<exchange::reservation_place>{
+    auto client = recorded_reservations{};
+    auto const targets = std::vector<exchange::target_memory>{
         { core::target_id( "m1" ), {}, 100 } };
     auto const group = std::make_shared<exchange::reservation_group>(
-        caller, scheduler, core::reservation_id( "r" ), places, 10s );
+        client, scheduler, core::reservation_id( "r" ), targets, 10s );
     group->start( []( auto ) {} );
-    caller.reserved[0].callback( core::success() );
+    client.reserved[0].callback( core::success() );
     scheduler.run( 1'600ms );
-    REQUIRE( caller.reserved.size() == 2 );
-    auto const lost = core::error{ core::error_code::timed_out, "no answer" };
-    caller.reserved[1].callback( lost );
+    REQUIRE( client.reserved.size() == 2 );
+    auto const timed_out =
+        core::error{ core::error_code::timed_out, "no answer" };
+    client.reserved[1].callback( timed_out );
     scheduler.run( 400ms );
-    REQUIRE( caller.reserved.size() == 3 );
-    SECTION( "until it is done" )
+    REQUIRE( client.reserved.size() == 3 );
+    SECTION( "until it succeeds" )
     {
-        caller.reserved[2].callback( core::success() );
+        client.reserved[2].callback( core::success() );
         scheduler.run( 500ms );
-        CHECK( caller.reserved.size() == 3 );
+        CHECK( client.reserved.size() == 3 );
     }
-    SECTION( "three times in a period at most" )
+    SECTION( "with at most three attempts in a renewal period" )
     {
-        caller.reserved[2].callback( lost );
+        client.reserved[2].callback( timed_out );
         scheduler.run( 400ms );
-        REQUIRE( caller.reserved.size() == 4 );
-        caller.reserved[3].callback( lost );
+        REQUIRE( client.reserved.size() == 4 );
+        client.reserved[3].callback( timed_out );
         scheduler.run( 400ms );
-        CHECK( caller.reserved.size() == 4 );
+        CHECK( client.reserved.size() == 4 );
     }
-    SECTION( "unless the memory has been given back" )
+    SECTION( "unless the memory has been released" )
     {
-        caller.reserved[2].callback( lost );
+        client.reserved[2].callback( timed_out );
         group->release();
         scheduler.run( 400ms );
-        CHECK( caller.reserved.size() == 3 );
+        CHECK( client.reserved.size() == 3 );
     }
     group->release();
 }
 
-TEST_CASE( "memory that could not be given back is released again",
-           "[reservation]" )
+TEST_CASE( "a failed release is retried", "[reservation]" )
 {
     auto scheduler = held_scheduler{};
-    auto caller = recorded_reservations{};
-    auto const places = std::vector<exchange::reservation_place>{
+    auto client = recorded_reservations{};
+    auto const targets = std::vector<exchange::target_memory>{
         { core::target_id( "m1" ), {}, 100 } };
     auto const group = std::make_shared<exchange::reservation_group>(
-        caller, scheduler, core::reservation_id( "r" ), places, 20s );
+        client, scheduler, core::reservation_id( "r" ), targets, 20s );
     group->start( []( auto ) {} );
-    caller.reserved[0].callback( core::success() );
+    client.reserved[0].callback( core::success() );
     group->release();
     group->release();
-    REQUIRE( caller.released.size() == 1 );
-    caller.released[0].callback(
+    REQUIRE( client.released.size() == 1 );
+    client.released[0].callback(
         core::error{ core::error_code::timed_out, "lost" } );
     scheduler.run( 1s );
-    REQUIRE( caller.released.size() == 2 );
-    caller.released[1].callback( core::success() );
+    REQUIRE( client.released.size() == 2 );
+    client.released[1].callback( core::success() );
     scheduler.run( 5s );
-    CHECK( caller.released.size() == 2 );
+    CHECK( client.released.size() == 2 );
 }
--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -234,7 +234,7 @@
     CHECK( head.proves_not_run );
     REQUIRE( head.load );
     CHECK( head.load->waiting == 1 );
-    CHECK( head.at_fault == "i-9" );
+    CHECK( head.failed_target == "i-9" );
     for ( auto const& h : head.headers )
         CHECK( h.name != "Connection" );
     auto const leaves =
@@ -246,7 +246,7 @@
     {
         return platform::decode_answer(
                    { status, { { "Retry-After", text } } } )
-            .wants_pause;
+            .requested_pause;
     };
     CHECK( pause_of( 503, "2" ) == 2s );
     CHECK( pause_of( 503, " 0.25 " ) == 250ms );
@@ -296,7 +296,7 @@
     CHECK( c.find_service( core::service_id( "s1" ) )->engine->slots == 16 );
     CHECK( c.find_service( core::service_id( "s1" ) )
                ->engine->prefill_tokens_per_ms == Approx( 256 ) );
-    CHECK( c.limits.header_bytes == 100 );
+    CHECK( c.limits.max_header_bytes == 100 );
     REQUIRE( c.find_workspace( "k2" ) != nullptr );
     CHECK( c.find_workspace( "k2" )->priority == 2 );
     CHECK( c.min_gap_objective( core::service_id( "s1" ) ) == 200ms );
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -31,7 +31,7 @@
         stream_status = status;
         stream_headers = std::move( headers );
     }
-    auto send_piece( std::string bytes ) -> void override
+    auto send_chunk( std::string bytes ) -> void override
     {
         stream += bytes;
     }
@@ -83,10 +83,10 @@
         listener->on_head( std::move( h ) );
     }
     /// The target says that it does not run the request.
-    auto turn_away( int status = 503, std::string at_fault = {} ) -> void
+    auto turn_away( int status = 503, std::string failed_target = {} ) -> void
     {
         auto h = exchange::answer_head{};
-        h.at_fault = std::move( at_fault );
+        h.failed_target = std::move( failed_target );
         h.status = status;
         h.proves_not_run = true;
         h.wrong_target = status == 421;
@@ -123,7 +123,7 @@
 };
 
 /// Keeps what is sent, for a test to answer.
-class recorded_targets : public exchange::target_caller
+class recorded_targets : public exchange::target_client
 {
 public:
     auto send( exchange::outgoing_request request,
@@ -183,18 +183,18 @@
 };
 
 /// Orders for memory; a test decides what the targets say.
-class recorded_reservations : public exchange::reservation_caller
+class recorded_reservations : public exchange::reservation_client
 {
 public:
     struct order
     {
-        exchange::reservation_place place;
+        exchange::target_memory place;
         core::reservation_id id;
         core::duration hold{ 0 };
         done callback;
     };
 
-    auto reserve( exchange::reservation_place const& place,
+    auto reserve( exchange::target_memory const& place,
                   core::reservation_id const& id,
                   core::duration hold,
                   done callback ) -> void override
@@ -203,7 +203,7 @@
         if ( answers_at_once )
             reserved.back().callback( core::success() );
     }
-    auto release( exchange::reservation_place const& place,
+    auto release( exchange::target_memory const& place,
                   core::reservation_id const& id,
                   done callback ) -> void override
     {
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -92,7 +92,7 @@
         auto h = exchange::answer_head{};
         h.status = 503;
         h.proves_not_run = true;
-        h.wants_pause = pause;
+        h.requested_pause = pause;
         listener_->on_head( std::move( h ) );
         complete();
     }
@@ -390,7 +390,7 @@
     std::string from_;
 };
 
-class fleet_instance::targets : public exchange::target_caller,
+class fleet_instance::targets : public exchange::target_client,
                                 public exchange::target_probe
 {
 public:
--- a/tests/support/played_engines.cpp
+++ b/tests/support/played_engines.cpp
@@ -190,11 +190,11 @@
           tried_at_( owner.fixture.scheduler.now() )
     {
     }
-    auto send_piece( std::string bytes ) -> void override
+    auto send_chunk( std::string bytes ) -> void override
     {
         if ( !which_->first )
             which_->first = owner_.fixture.scheduler.now() - which_->came;
-        recorded_channel::send_piece( std::move( bytes ) );
+        recorded_channel::send_chunk( std::move( bytes ) );
     }
     auto end_stream() -> void override
     {
--- a/tests/support/played_engines.hpp
+++ b/tests/support/played_engines.hpp
@@ -26,7 +26,7 @@
 /// the part for another that came last before all else, then its own prompts as
 /// they came, at the given speed. The first event comes when all parts are
 /// read, and 15 more follow, 50 ms apart.
-class played_engines : public exchange::target_caller
+class played_engines : public exchange::target_client
 {
 public:
     played_engines( held_scheduler& scheduler, exchange::engine_speed speed )
