--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -5,20 +5,12 @@
 #include <algorithm>
 #include <random>
 
-// What callers saw: on a day on which one caller sent a request that ends each
-// engine that runs it, a tenth of all requests ended with 502. Callers came
-// back with that request, each time at another instance; each instance sent it
-// to two engines, which ended with all that ran beside it. Engines were back
-// after some seconds and were ended again, 70 of them within a minute.
+// Guards against a request that crashes each target that runs it, together with
+// the ordinary requests that run there.
 //
-// Cause: nothing outlived a try. A request was known by the id of its caller's
-// try only, a break was put down to the engine alone, and what broke was sent
-// on to another engine together with what had run beside it.
-//
-// Evidence: in the logs of that day two prompt sizes, of one caller and route,
-// were among what broke at each of the 50 ends that the logs held, and no other
-// size at more than five. Before the mend the first test below counted 48 ends,
-// 40 runs after the third of them, and 362 of 560 ordinary requests not served.
+// Its caller retries it at other instances, and each instance sends it to two
+// targets. If no instance remembers its crashes beyond one attempt, targets
+// crash again as soon as they have restarted, and ordinary requests fail.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -26,24 +18,26 @@
 namespace
 {
 
-/// Time in which news of an engine's end has to have reached all instances.
-constexpr auto time_to_know = core::duration( 3s );
-/// Ends of targets after which their cause is known.
-constexpr auto crashes_that_prove = 3;
-/// Runs that are allowed later, by instances that all have known for long.
-constexpr auto allowed_later = 3;
+/// Time within which the crash of an engine has to be known to all instances.
+constexpr auto propagation_time = core::duration( 3s );
+/// Number of crashes after which their cause is known.
+constexpr auto crashes_to_quarantine = 3;
+/// Number of runs that are allowed after all instances know the cause.
+constexpr auto allowed_late_runs = 3;
 
-/// Ordinary callers and one whose request ends its targets.
+/// Sends ordinary requests and a fatal one that crashes its targets.
 struct mixed_load
 {
-    mixed_load( exchange_fleet& f, std::string p, core::duration pause )
-        : fleet( f ), path( std::move( p ) ), fatal_pause( pause )
+    mixed_load( exchange_fleet& f,
+                std::string path_prefix,
+                core::duration period )
+        : fleet( f ), path( std::move( path_prefix ) ), fatal_period( period )
     {
     }
 
-    /// Ordinary requests come 25 ms apart; the fatal one again and again after
-    /// the first two seconds.
-    auto play( core::duration time ) -> void
+    /// Sends an ordinary request every 25 ms and, after the first two seconds,
+    /// the fatal one repeatedly.
+    auto send_for( core::duration time ) -> void
     {
         constexpr auto step = core::duration( 25ms );
         auto const end = fleet.scheduler.now() + time;
@@ -57,7 +51,7 @@
             {
                 fatal.push_back(
                     fleet.call( number * 7 % fleet.size(), path + "f", body ) );
-                next_fatal += fatal_pause;
+                next_fatal += fatal_period;
             }
             fleet.scheduler.run( step );
         }
@@ -65,7 +59,7 @@
 
     exchange_fleet& fleet;
     std::string path;
-    core::duration fatal_pause;
+    core::duration fatal_period;
     std::string body{ "fatal" };
     std::vector<std::shared_ptr<fleet_call>> ordinary;
     std::vector<std::shared_ptr<fleet_call>> fatal;
@@ -82,16 +76,16 @@
     return found;
 }
 
-/// Runs that were sent when all had had time to know of the ends before.
-auto runs_after_proof( fleet_targets const& targets, std::string const& body )
-    -> int
+/// Number of runs that were sent after all instances should know the cause.
+auto runs_after_quarantine( fleet_targets const& targets,
+                            std::string const& body ) -> int
 {
     auto const runs = runs_of( targets, body );
-    if ( runs.size() < crashes_that_prove )
+    if ( runs.size() < crashes_to_quarantine )
         return 0;
-    auto const known = runs[crashes_that_prove - 1].sent_at +
+    auto const known = runs[crashes_to_quarantine - 1].sent_at +
                        targets.time.prefill + targets.time.until_crash +
-                       time_to_know;
+                       propagation_time;
     return static_cast<int>( std::count_if( runs.begin(), runs.end(),
                                             [known]( auto const& run )
                                             {
@@ -99,7 +93,8 @@
                                             } ) );
 }
 
-auto not_served( std::vector<std::shared_ptr<fleet_call>> const& calls ) -> int
+auto count_not_served( std::vector<std::shared_ptr<fleet_call>> const& calls )
+    -> int
 {
     return static_cast<int>( std::count_if( calls.begin(), calls.end(),
                                             []( auto const& call )
@@ -110,55 +105,58 @@
 
 }
 
-TEST_CASE( "a request that ends its engines reaches few of them",
+TEST_CASE( "a request that crashes its engines reaches few of them",
            "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 4, 12, 2 );
     auto load = mixed_load( fleet, "/chat/", 400ms );
-    load.play( 14s );
+    load.send_for( 14s );
     fleet.scheduler.run( 12s );
-    CHECK( runs_after_proof( fleet.engines, "fatal" ) <= allowed_later );
-    CHECK( fleet.engines.crashes <= 2 * crashes_that_prove );
-    CHECK( not_served( load.ordinary ) == 0 );
+    CHECK( runs_after_quarantine( fleet.engines, "fatal" ) <=
+           allowed_late_runs );
+    CHECK( fleet.engines.crashes <= 2 * crashes_to_quarantine );
+    CHECK( count_not_served( load.ordinary ) == 0 );
 
-    // What is known to be lost ends at once.
-    CHECK( not_served( load.fatal ) == static_cast<int>( load.fatal.size() ) );
+    // A quarantined request is refused at once.
+    CHECK( count_not_served( load.fatal ) ==
+           static_cast<int>( load.fatal.size() ) );
     CHECK( load.fatal.back()->status == 503 );
     CHECK( load.fatal.back()->longest_try < 50ms );
 }
 
-TEST_CASE( "a call that ends its targets reaches few of them",
+TEST_CASE( "a call that crashes its targets reaches few of them",
            "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 4, 2, 6 );
     auto load = mixed_load( fleet, "/safe/", 300ms );
-    load.play( 14s );
+    load.send_for( 14s );
     fleet.scheduler.run( 12s );
-    CHECK( runs_after_proof( fleet.plain, "fatal" ) <= allowed_later );
-    CHECK( fleet.plain.crashes <= 2 * crashes_that_prove );
-    CHECK( not_served( load.ordinary ) == 0 );
+    CHECK( runs_after_quarantine( fleet.plain, "fatal" ) <= allowed_late_runs );
+    CHECK( fleet.plain.crashes <= 2 * crashes_to_quarantine );
+    CHECK( count_not_served( load.ordinary ) == 0 );
 }
 
-TEST_CASE( "what ends its engines stays known where instances are lost",
+TEST_CASE( "a crashing request stays quarantined when instances are lost",
            "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 5, 12, 2 );
     auto load = mixed_load( fleet, "/chat/", 400ms );
-    load.play( 5s );
+    load.send_for( 5s );
     auto const before = runs_of( fleet.engines, "fatal" ).size();
-    // All but one, which are back at once and know nothing.
+    // All instances but one restart without their state.
     for ( auto i = 0; i < fleet.size() - 1; ++i )
         fleet.kill( i );
     fleet.scheduler.run( 200ms );
     for ( auto i = 0; i < fleet.size() - 1; ++i )
         fleet.restart( i );
-    load.play( 8s );
+    load.send_for( 8s );
     fleet.scheduler.run( 12s );
-    CHECK( before >= crashes_that_prove );
-    CHECK( runs_of( fleet.engines, "fatal" ).size() <= before + allowed_later );
+    CHECK( before >= crashes_to_quarantine );
+    CHECK( runs_of( fleet.engines, "fatal" ).size() <=
+           before + allowed_late_runs );
 }
 
-TEST_CASE( "ends by chance quarantine nobody", "[exchange][crash]" )
+TEST_CASE( "random crashes quarantine no request", "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 4, 14, 2 );
     auto draw = std::minstd_rand( 5 );
@@ -176,13 +174,14 @@
     }
     fleet.scheduler.run( 12s );
     CHECK( fleet.engines.crashes > 10 );
-    CHECK( not_served( calls ) == 0 );
+    CHECK( count_not_served( calls ) == 0 );
 }
 
-TEST_CASE( "what is asked again and again is served by targets that break off",
+TEST_CASE( "a repeated request is served although targets reset connections",
            "[exchange][crash]" )
 {
-    // Every request has the same content, and what breaks lives on.
+    // All requests have the same content, and targets that break off stay
+    // alive.
     auto fleet = exchange_fleet( 4, 6, 6 );
     auto draw = std::minstd_rand( 5 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
@@ -199,51 +198,51 @@
         fleet.scheduler.run( 25ms );
     }
     fleet.scheduler.run( 12s );
-    // The last break was after 5 s. What is held back by then is served once
-    // the entries of its targets would have lapsed (6 s) and were looked at
-    // again.
+    // The last run broke off after 5 s. A content that is quarantined by then
+    // is served again once the records of its targets would have expired (6 s)
+    // and the crash history has been pruned.
     auto const late = std::vector( calls.end() - 60, calls.end() );
-    CHECK( not_served( late ) == 0 );
+    CHECK( count_not_served( late ) == 0 );
 }
 
-TEST_CASE(
-    "two requests that end their engines are told from those beside them",
-    "[exchange][crash]" )
+TEST_CASE( "two crashing requests are told apart from those beside them",
+           "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 5, 12, 2 );
     auto first = mixed_load( fleet, "/chat/", 300ms );
     auto second = std::vector<std::shared_ptr<fleet_call>>{};
     for ( auto i = 0; i < 30; ++i )
     {
-        first.play( i == 0 ? core::duration( 2100ms )
-                           : core::duration( 100ms ) );
+        first.send_for( i == 0 ? core::duration( 2100ms )
+                               : core::duration( 100ms ) );
         second.push_back( fleet.call( i % 5, "/chat/f", "fatal too" ) );
         second.push_back( fleet.call( ( i + 2 ) % 5, "/chat/f", "fatal" ) );
     }
-    first.play( 3s );
+    first.send_for( 3s );
     fleet.scheduler.run( 12s );
-    CHECK( runs_after_proof( fleet.engines, "fatal" ) <= allowed_later );
-    CHECK( runs_after_proof( fleet.engines, "fatal too" ) <= allowed_later );
-    CHECK( fleet.engines.crashes <= 4 * crashes_that_prove );
-    CHECK( not_served( first.ordinary ) == 0 );
+    CHECK( runs_after_quarantine( fleet.engines, "fatal" ) <=
+           allowed_late_runs );
+    CHECK( runs_after_quarantine( fleet.engines, "fatal too" ) <=
+           allowed_late_runs );
+    CHECK( fleet.engines.crashes <= 4 * crashes_to_quarantine );
+    CHECK( count_not_served( first.ordinary ) == 0 );
 }
 
-TEST_CASE( "what ends its engines stays known where all instances are lost",
+TEST_CASE( "a crashing request stays quarantined when all instances are lost",
            "[exchange][crash]" )
 {
-    // What callers saw: nothing; the first incident asked what is left of the
-    // knowledge when all who have it are lost at one moment. Nothing was: five
-    // instances that were sent the request at once, seconds later, ended five
-    // engines.
+    // Without a record in the store, the quarantine would be lost along with
+    // the instances, and the request would crash one engine for each of the
+    // five instances that receive it after the restart.
     auto fleet = exchange_fleet( 5, 12, 2 );
-    auto const store_is_away_first = GENERATE( false, true );
-    fleet.store.is_away = store_is_away_first;
+    auto const store_is_unavailable_first = GENERATE( false, true );
+    fleet.store.is_away = store_is_unavailable_first;
     auto load = mixed_load( fleet, "/chat/", 400ms );
-    load.play( 5s );
+    load.send_for( 5s );
     fleet.store.is_away = false;
     fleet.scheduler.run( 2s );
     auto const before = runs_of( fleet.engines, "fatal" ).size();
-    CHECK( before >= crashes_that_prove );
+    CHECK( before >= crashes_to_quarantine );
     CHECK( fleet.store.writes == 1 );
     for ( auto i = 0; i < fleet.size(); ++i )
         fleet.kill( i );
@@ -257,12 +256,12 @@
     CHECK( runs_of( fleet.engines, "fatal" ).size() == before );
 }
 
-TEST_CASE( "the record of a quarantine that was a mistake is taken back",
+TEST_CASE( "the record of a mistaken quarantine is removed",
            "[exchange][crash]" )
 {
     auto fleet = exchange_fleet( 4, 6, 2 );
     fleet.engines.answers_probes = false;
-    auto const held = [&]
+    auto const quarantined = [&]
     {
         auto request = exchange::caller_request{};
         request.method = "POST";
@@ -277,26 +276,26 @@
         return content;
     }();
     fleet.scheduler.run( 3s );
-    CHECK( fleet.at( 1 ).crashes.is_quarantined( held ) );
+    CHECK( fleet.at( 1 ).crashes.is_quarantined( quarantined ) );
     CHECK( fleet.store.writes == 1 );
-    // Its engines are still listed when their entries would have lapsed.
+    // Its engines are still listed after their records would have expired.
     fleet.scheduler.run( 8s );
     CHECK( fleet.store.writes == 2 );
     fleet.kill( 2 );
     fleet.restart( 2 );
     fleet.scheduler.run( 1s );
     for ( auto i = 0; i < fleet.size(); ++i )
-        CHECK_FALSE( fleet.at( i ).crashes.is_quarantined( held ) );
+        CHECK_FALSE( fleet.at( i ).crashes.is_quarantined( quarantined ) );
     auto const call = fleet.call( 2, "/chat/o", "beside" );
     fleet.scheduler.run( 3s );
     CHECK( call->served );
 }
 
-TEST_CASE( "what meets targets in a row that live is not held back",
+TEST_CASE( "a request that several live targets reset is not quarantined",
            "[exchange][crash]" )
 {
-    // What callers saw: requests refused as if they ended their targets, on a
-    // day on which engines reset four answers in ten.
+    // If engines reset many connections, a harmless request may break off at
+    // three targets in turn and must not be refused as if it crashed them.
     auto fleet = exchange_fleet( 4, 8, 6 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
@@ -304,10 +303,10 @@
     for ( auto i = 0; i < 40; ++i )
     {
         auto const body = std::to_string( i );
-        // Its runs break at three targets and more, one after the other.
-        for ( auto tries = 0; tries < 3; ++tries )
+        // The request's runs break off at three or more targets in turn.
+        for ( auto attempt = 0; attempt < 3; ++attempt )
         {
-            fleet.call( ( i + tries ) % fleet.size(), path, body );
+            fleet.call( ( i + attempt ) % fleet.size(), path, body );
             for ( auto cuts = 0; cuts < 2; ++cuts )
             {
                 fleet.scheduler.run( 10ms );
@@ -319,5 +318,5 @@
         fleet.scheduler.run( 1s );
     }
     fleet.scheduler.run( 12s );
-    CHECK( not_served( calls ) == 0 );
+    CHECK( count_not_served( calls ) == 0 );
 }
