--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -206,32 +206,30 @@
     rate.updated_at = now;
 }
 
-auto load_table::count_prefill( tracked_work& tracked, core::instant now )
-    -> void
+auto load_table::count_prefill( known_work& known, core::instant now ) -> void
 {
-    tracked.prefill_counted = true;
-    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
+    known.prefill_counted = true;
+    for ( auto i = std::size_t{ 0 }; i < known.targets.size(); ++i )
     {
-        if ( !tracked.targets[i] )
+        if ( !known.targets[i] )
             continue;
-        auto& load = tracked.targets[i]->load;
+        auto& load = known.targets[i]->load;
         ++load.parts_prefilling;
         load.own_parts_prefilling += i == 0 ? 1 : 0;
         load.prefill_until = std::max( load.prefill_until, now ) +
-                             from_ms( tracked.work.parts[i].prefill_ms );
+                             from_ms( known.work.parts[i].prefill_ms );
     }
 }
 
-auto load_table::uncount_prefill( tracked_work& tracked, core::instant now )
-    -> void
+auto load_table::uncount_prefill( known_work& known, core::instant now ) -> void
 {
-    if ( !std::exchange( tracked.prefill_counted, false ) )
+    if ( !std::exchange( known.prefill_counted, false ) )
         return;
-    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
+    for ( auto i = std::size_t{ 0 }; i < known.targets.size(); ++i )
     {
-        if ( !tracked.targets[i] )
+        if ( !known.targets[i] )
             continue;
-        auto& load = tracked.targets[i]->load;
+        auto& load = known.targets[i]->load;
         --load.parts_prefilling;
         load.own_parts_prefilling -= i == 0 ? 1 : 0;
         if ( load.parts_prefilling <= 0 )
@@ -239,40 +237,39 @@
     }
 }
 
-auto load_table::count_sent( tracked_work const& tracked ) -> void
+auto load_table::count_sent( known_work const& known ) -> void
 {
-    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
-        if ( tracked.targets[i] )
-            tracked.targets[i]->limit.note_sent(
-                tracked.sent_at, tracked.work.requests_at( i ) );
+    for ( auto i = std::size_t{ 0 }; i < known.targets.size(); ++i )
+        if ( known.targets[i] )
+            known.targets[i]->limit.note_sent( known.sent_at,
+                                               known.work.requests_at( i ) );
 }
 
-auto load_table::count_memory( tracked_work const& tracked, std::int64_t sign )
+auto load_table::count_memory( known_work const& known, std::int64_t sign )
     -> void
 {
-    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
-        if ( tracked.targets[i] )
-            tracked.targets[i]->load.memory_tokens +=
-                sign * tracked.work.parts[i].memory_tokens;
+    for ( auto i = std::size_t{ 0 }; i < known.targets.size(); ++i )
+        if ( known.targets[i] )
+            known.targets[i]->load.memory_tokens +=
+                sign * known.work.parts[i].memory_tokens;
 }
 
-auto load_table::count_decoding( tracked_work const& tracked,
-                                 std::int64_t sign ) -> void
+auto load_table::count_decoding( known_work const& known, std::int64_t sign )
+    -> void
 {
-    if ( tracked.targets.empty() || !tracked.targets.front() )
+    if ( known.targets.empty() || !known.targets.front() )
         return;
-    auto& load = tracked.targets.front()->load;
+    auto& load = known.targets.front()->load;
     load.decoding += sign;
-    load.context_tokens += sign * tracked.work.context_tokens;
+    load.context_tokens += sign * known.work.context_tokens;
 }
 
-auto load_table::has_newly_known_target( tracked_work const& tracked ) const
-    -> bool
+auto load_table::has_newly_known_target( known_work const& known ) const -> bool
 {
-    for ( auto i = std::size_t{ 0 }; i < tracked.targets.size(); ++i )
+    for ( auto i = std::size_t{ 0 }; i < known.targets.size(); ++i )
     {
-        auto const& part = tracked.work.parts[i];
-        if ( !tracked.targets[i] &&
+        auto const& part = known.work.parts[i];
+        if ( !known.targets[i] &&
              find_lifetime( { part.target, part.lifetime } ) )
             return true;
     }
@@ -284,7 +281,7 @@
                            core::instant now ) -> void
 {
     auto const [position, is_new] = works_[owner].try_emplace(
-        work.serial, tracked_work{ work, {}, false, now - work.sent_ago } );
+        work.serial, known_work{ work, {}, false, now - work.sent_ago } );
     if ( !is_new && has_newly_known_target( position->second ) )
     {
         // The work was reported before the registry listed its target. It is
@@ -299,26 +296,25 @@
             end_prefill( owner, work.serial, now );
         return;
     }
-    auto& tracked = position->second;
-    for ( auto const& part : tracked.work.parts )
-        tracked.targets.push_back(
+    auto& known = position->second;
+    for ( auto const& part : known.work.parts )
+        known.targets.push_back(
             find_lifetime( { part.target, part.lifetime } ) );
-    count_sent( tracked );
-    if ( tracked.work.prefilling )
-        count_prefill( tracked, now );
+    count_sent( known );
+    if ( known.work.prefilling )
+        count_prefill( known, now );
     else
-        count_decoding( tracked, 1 );
-    count_memory( tracked, 1 );
-    if ( tracked.targets.empty() || !tracked.targets.front() )
+        count_decoding( known, 1 );
+    count_memory( known, 1 );
+    if ( known.targets.empty() || !known.targets.front() )
         return;
-    note_arrival( tracked.targets.front()->properties.service, tracked.work,
-                  now );
-    auto& load = tracked.targets.front()->load;
+    note_arrival( known.targets.front()->properties.service, known.work, now );
+    auto& load = known.targets.front()->load;
     ++load.requests;
-    load.suspects += tracked.work.is_suspect ? 1 : 0;
-    auto& group = load.by_tolerated_gap[tracked.work.tolerated_gap_ms];
+    load.suspects += known.work.is_suspect ? 1 : 0;
+    auto& group = load.by_tolerated_gap[known.work.tolerated_gap_ms];
     ++group.requests;
-    group.weight += weight_of( tracked.work.context_tokens );
+    group.weight += weight_of( known.work.context_tokens );
 }
 
 auto load_table::end_prefill( core::instance_id const& owner,
@@ -329,28 +325,27 @@
     auto const found = works.find( serial );
     if ( found == works.end() || !found->second.work.prefilling )
         return;
-    auto& tracked = found->second;
-    uncount_prefill( tracked, now );
-    tracked.work.prefilling = false;
-    count_decoding( tracked, 1 );
+    auto& known = found->second;
+    uncount_prefill( known, now );
+    known.work.prefilling = false;
+    count_decoding( known, 1 );
 }
 
-auto load_table::uncount( tracked_work& tracked, core::instant now ) -> void
+auto load_table::uncount( known_work& known, core::instant now ) -> void
 {
-    uncount_prefill( tracked, now );
-    if ( !tracked.work.prefilling )
-        count_decoding( tracked, -1 );
-    count_memory( tracked, -1 );
-    if ( tracked.targets.empty() || !tracked.targets.front() )
+    uncount_prefill( known, now );
+    if ( !known.work.prefilling )
+        count_decoding( known, -1 );
+    count_memory( known, -1 );
+    if ( known.targets.empty() || !known.targets.front() )
         return;
-    auto& load = tracked.targets.front()->load;
+    auto& load = known.targets.front()->load;
     --load.requests;
-    load.suspects -= tracked.work.is_suspect ? 1 : 0;
-    auto const gap =
-        load.by_tolerated_gap.find( tracked.work.tolerated_gap_ms );
+    load.suspects -= known.work.is_suspect ? 1 : 0;
+    auto const gap = load.by_tolerated_gap.find( known.work.tolerated_gap_ms );
     if ( gap == load.by_tolerated_gap.end() )
         return;
-    gap->second.weight -= weight_of( tracked.work.context_tokens );
+    gap->second.weight -= weight_of( known.work.context_tokens );
     if ( --gap->second.requests <= 0 )
         load.by_tolerated_gap.erase( gap );
 }
@@ -389,8 +384,8 @@
     auto const found = works_.find( owner );
     if ( found == works_.end() )
         return;
-    for ( auto& [serial, tracked] : found->second )
-        uncount( tracked, now );
+    for ( auto& [serial, known] : found->second )
+        uncount( known, now );
     works_.erase( found );
 }
 
@@ -402,10 +397,10 @@
     if ( found == works_.end() )
         return result;
     result.reserve( found->second.size() );
-    for ( auto const& [serial, tracked] : found->second )
+    for ( auto const& [serial, known] : found->second )
     {
-        result.push_back( tracked.work );
-        result.back().sent_ago = now - tracked.sent_at;
+        result.push_back( known.work );
+        result.back().sent_ago = now - known.sent_at;
     }
     return result;
 }
--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -340,14 +340,14 @@
 private:
     /// Work and the entries whose load includes it, one for each part; null if
     /// the target was unknown when the work was added.
-    struct tracked_work
+    struct known_work
     {
         open_work work;
         std::vector<std::shared_ptr<target_entry>> targets;
         bool prefill_counted{ false };
         core::instant sent_at;
     };
-    using work_map = std::unordered_map<std::uint64_t, tracked_work>;
+    using work_map = std::unordered_map<std::uint64_t, known_work>;
 
     /// Exponentially decaying averages of the work sent to a service.
     struct arrival_rate
@@ -358,19 +358,19 @@
     };
 
     /// True if a target was unknown when the work was added and is known now.
-    [[nodiscard]] auto
-    has_newly_known_target( tracked_work const& tracked ) const -> bool;
+    [[nodiscard]] auto has_newly_known_target( known_work const& known ) const
+        -> bool;
     auto note_arrival( core::service_id const& id,
                        open_work const& work,
                        core::instant now ) -> void;
-    auto count_prefill( tracked_work& tracked, core::instant now ) -> void;
-    auto uncount_prefill( tracked_work& tracked, core::instant now ) -> void;
-    static auto count_sent( tracked_work const& tracked ) -> void;
-    static auto count_memory( tracked_work const& tracked, std::int64_t sign )
+    auto count_prefill( known_work& known, core::instant now ) -> void;
+    auto uncount_prefill( known_work& known, core::instant now ) -> void;
+    static auto count_sent( known_work const& known ) -> void;
+    static auto count_memory( known_work const& known, std::int64_t sign )
         -> void;
-    static auto count_decoding( tracked_work const& tracked, std::int64_t sign )
+    static auto count_decoding( known_work const& known, std::int64_t sign )
         -> void;
-    auto uncount( tracked_work& tracked, core::instant now ) -> void;
+    auto uncount( known_work& known, core::instant now ) -> void;
     auto insert_into_service( std::shared_ptr<target_entry> const& entry )
         -> void;
     auto erase_from_service( std::shared_ptr<target_entry> const& entry )
