--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -266,14 +266,14 @@
     /// Removes all work of `owner`, an instance that has ended.
     auto end_all_work( core::instance_id const& owner, core::instant now )
         -> void;
-    /// The work that is known of `owner`.
+    /// The open work of `owner`, as far as it is known.
     [[nodiscard]] auto works_of( core::instance_id const& owner,
                                  core::instant now ) const
         -> std::vector<open_work>;
 
     /// Notes a failed attempt. Returns true if this ejects a target that was
     /// not ejected before. Like all functions below that take a `target_ref`,
-    /// it does nothing for an earlier lifetime.
+    /// it changes nothing if `ref` is an earlier lifetime.
     auto note_failure( target_ref const& ref,
                        core::instant now,
                        target_failure failure = target_failure::failed )
