--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -141,7 +141,7 @@
     if ( !std::exchange( streaming_, true ) )
         answer_->start_stream( current_->head->status,
                                current_->head->headers );
-    answer_->send_piece( std::move( events ) );
+    answer_->send_chunk( std::move( events ) );
 }
 
 /// Records one event, and empties it if the caller already has it. Returns
--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -27,8 +27,8 @@
 {
     auto const& target = from.target;
     context_.crashes.note_answer( target, from.sent_at );
-    if ( head.wants_pause > core::duration( 0 ) )
-        context_.loads.pause( target, from.last_heard_at + head.wants_pause );
+    if ( head.requested_pause > core::duration( 0 ) )
+        context_.loads.pause( target, from.last_heard_at + head.requested_pause );
     note_reported_limit( from, head );
     for ( auto const& name : head.unknown_headers )
         if ( context_.counters.unknown_headers.add( name ) )
@@ -87,9 +87,9 @@
 {
     auto const& head = *from.head;
     auto const now = context_.scheduler.now();
-    auto const named = head.at_fault.empty()
+    auto const named = head.failed_target.empty()
                            ? nullptr
-                           : context_.loads.find_by_name( head.at_fault );
+                           : context_.loads.find_by_name( head.failed_target );
     auto at_fault = named ? named->ref() : from.target;
     if ( head.wrong_target || at_fault != from.target )
     {
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -190,7 +190,7 @@
     CHECK( m1->load.requests == 0 );
     CHECK( m1->load.decoding == 0 );
     CHECK( m1->load.memory_tokens == 0 );
-    CHECK( m1->load.by_gap.empty() );
+    CHECK( m1->load.by_tolerated_gap.empty() );
     auto const m2 = loads.find( core::target_id( "m2" ) );
     CHECK( m2->load.parts_prefilling == 0 );
     CHECK( m2->load.memory_tokens == 0 );
--- a/tests/support/simulated_engines.cpp
+++ b/tests/support/simulated_engines.cpp
@@ -191,7 +191,7 @@
           started_at_( owner.fixture.scheduler.now() )
     {
     }
-    auto send_piece( std::string bytes ) -> void override
+    auto send_chunk( std::string bytes ) -> void override
     {
         if ( !record_->first_event )
             record_->first_event =
--- a/tests/support/simulated_engines.hpp
+++ b/tests/support/simulated_engines.hpp
@@ -26,7 +26,7 @@
 /// each one prefills parts for other engines first, the latest of them before
 /// the earlier ones, then its own prompts in order of arrival. The first event
 /// comes 50 ms after the prefill of all parts, and 15 more follow, 50 ms apart.
-class simulated_engines : public exchange::target_caller
+class simulated_engines : public exchange::target_client
 {
 public:
     simulated_engines( held_scheduler& scheduler, exchange::engine_speed speed )
