--- a/src/pollenstream/exchange/exchange_evidence.cpp
+++ b/src/pollenstream/exchange/exchange_evidence.cpp
@@ -28,7 +28,8 @@
     auto const& target = from.target;
     context_.crashes.note_answer( target, from.sent_at );
     if ( head.requested_pause > core::duration( 0 ) )
-        context_.loads.pause( target, from.last_heard_at + head.requested_pause );
+        context_.loads.pause( target,
+                              from.last_heard_at + head.requested_pause );
     note_reported_limit( from, head );
     for ( auto const& name : head.unknown_headers )
         if ( context_.counters.unknown_headers.add( name ) )
