--- a/tests/support/simulated_engines.cpp
+++ b/tests/support/simulated_engines.cpp
@@ -196,7 +196,7 @@
         if ( !record_->first_event )
             record_->first_event =
                 owner_.fixture.scheduler.now() - record_->arrived_at;
-        recorded_channel::send_piece( std::move( bytes ) );
+        recorded_channel::send_chunk( std::move( bytes ) );
     }
     auto end_stream() -> void override
     {
