--- a/src/pollenstream/exchange/event_log.cpp
+++ b/src/pollenstream/exchange/event_log.cpp
@@ -14,7 +14,7 @@
 {
     switch ( change )
     {
-    case limit_change::named:
+    case limit_change::started:
         return "limited";
     case limit_change::lowered:
         return "limit_lowered";
--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -257,7 +257,7 @@
     auto demand = demand_;
     demand.only_to_probe_limits = true;
     demand.limits = shared_.placements.is_active_coordinator()
-                        ? limit_use::for_all
+                        ? limit_use::coordinated
                         : limit_use::uncoordinated;
     auto result = shared_.chooser.choose( demand, *service_, now );
     if ( result.choice && demand.limits == limit_use::uncoordinated )
--- a/src/pollenstream/exchange/known_limit.hpp
+++ b/src/pollenstream/exchange/known_limit.hpp
@@ -8,49 +8,49 @@
 namespace pollenstream::exchange
 {
 
-/// What one answer says of the requests that its target takes from all
-/// instances together. The target said it between the two times, which are of
-/// this instance's clock.
+/// The rate limit that a target reports in an answer; it holds for all
+/// instances together. The target made the report between the two times, which
+/// are of this instance's clock.
 struct limit_report
 {
-    /// Requests a second; nothing where the answer names no limit.
+    /// Requests a second; none where the answer has no limit.
     std::optional<double> per_second;
-    core::instant sent_at;  ///< of the request
-    core::instant heard_at; ///< of the answer's head
+    core::instant sent_at;  ///< when the request was sent
+    core::instant heard_at; ///< when the head of the answer arrived
 };
 
-/// What a statement has changed.
+/// What a report changes.
 enum class limit_change
 {
     none,
-    named, ///< there was none
+    started, ///< there was no limit before
     lowered,
     raised,
     ended,
 };
 
-/// The limit that a target is believed to have. Answers overlap, and other
-/// instances tell of theirs later: a statement counts against another one only
-/// where it is certain to be younger. Of two that may have been made in either
-/// order the lower limit holds, so that an old answer without a limit never
-/// ends one, and the next request settles it.
+/// The limit that a target is known to have. Answers overlap and reports of
+/// other instances arrive late, so the order of two reports may be unknown. A
+/// report that is certainly newer replaces the other; otherwise the lower limit
+/// holds. An old answer without a limit therefore never ends a limit, and the
+/// answer to the next request settles which report is right.
 class known_limit
 {
 public:
-    auto take( limit_report const& what ) -> limit_change;
+    auto note_report( limit_report const& report ) -> limit_change;
 
     [[nodiscard]] auto per_second() const -> std::optional<double>
     {
-        return held_.per_second;
+        return current_.per_second;
     }
-    /// The statement that holds, its times widened by others that agree.
-    [[nodiscard]] auto held() const -> limit_report const&
+    /// The report in force, with the latest times of all equal reports.
+    [[nodiscard]] auto current_report() const -> limit_report const&
     {
-        return held_;
+        return current_;
     }
 
 private:
-    limit_report held_;
+    limit_report current_;
 };
 
 }
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -448,8 +448,8 @@
     auto const at = find_lifetime( ref );
     if ( !at )
         return limit_change::none;
-    auto const change = at->limit.take( what, now );
-    if ( change == limit_change::named )
+    auto const change = at->limit.note_report( what, now );
+    if ( change == limit_change::started )
         limited_.insert( ref.id );
     return change;
 }
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -30,7 +30,7 @@
     /// Targets that want nothing from the asker now.
     std::vector<core::target_id> paused;
     /// What may be spent of the limits that targets name.
-    limit_use limits{ limit_use::for_all };
+    limit_use limits{ limit_use::coordinated };
     /// Targets with limits are chosen only to hear whether these still hold;
     /// else they are to be asked for.
     bool only_to_probe_limits{ false };
--- a/src/pollenstream/exchange/request_limit.cpp
+++ b/src/pollenstream/exchange/request_limit.cpp
@@ -11,22 +11,22 @@
 
 using namespace std::chrono_literals;
 
-/// A limited target that others are preferred to gets a request this often at
-/// least, if its limit allows it: its answer says whether the limit still
-/// holds.
-constexpr auto longest_unheard = core::duration( 2s );
+/// A limited target gets a request at least this often if its limit allows it,
+/// also when other targets are preferred: the answer tells whether the limit
+/// still holds.
+constexpr auto limit_probe_interval = core::duration( 2s );
 
 }
 
-auto request_limit::take( limit_report const& what, core::instant now )
+auto request_limit::note_report( limit_report const& report, core::instant now )
     -> limit_change
 {
-    auto const change = known_.take( what );
-    if ( change == limit_change::named )
-        pace_.begin( *what.per_second, now );
+    auto const change = known_.note_report( report );
+    if ( change == limit_change::started )
+        pace_.start( *report.per_second, now );
     else if ( change == limit_change::lowered ||
               change == limit_change::raised )
-        pace_.change( *what.per_second, now );
+        pace_.set_rate( *report.per_second, now );
     return change;
 }
 
@@ -63,15 +63,15 @@
 auto request_limit::rate( limit_use use, limit_shares const& shares ) const
     -> double
 {
-    auto const share =
-        use == limit_use::for_all ? shares.for_all : shares.uncoordinated;
+    auto const share = use == limit_use::coordinated ? shares.coordinated
+                                                     : shares.uncoordinated;
     return pace_.rate() * share;
 }
 
 auto request_limit::is_limit_stale( core::instant now ) const -> bool
 {
     auto const last = sent_.last();
-    return per_second() && ( !last || now - *last >= longest_unheard );
+    return per_second() && ( !last || now - *last >= limit_probe_interval );
 }
 
 }
--- a/src/pollenstream/exchange/request_limit.hpp
+++ b/src/pollenstream/exchange/request_limit.hpp
@@ -11,43 +11,44 @@
 namespace pollenstream::exchange
 {
 
-/// How many requests a second one lifetime of a target takes from all instances
-/// together, what they have sent it, and when it may get the next one.
+/// The rate limit of one lifetime of a target, which holds for all instances
+/// together, the requests that they have sent, and when the next one may go.
 class request_limit
 {
 public:
-    auto take( limit_report const& what, core::instant now ) -> limit_change;
-    /// `requests` were sent at once, by whichever instance.
+    auto note_report( limit_report const& report, core::instant now )
+        -> limit_change;
+    /// An instance sent `requests` at the same time.
     auto note_sent( core::instant at, std::size_t requests ) -> void;
-    /// This instance sent a request of which it tells nobody. They count for
-    /// who places for all, should the target name a limit.
+    /// This instance sent a request that it does not announce to the others. If
+    /// the target reports a limit later, the coordinator has to count it.
     auto note_unreported( core::instant at ) -> void;
-    /// When it did so in the last window; each is given once.
+    /// Times of the unreported requests in the last window. Clears them.
     auto take_unreported( core::instant now ) -> std::vector<core::instant>;
-    /// One of them was sent by this instance without having asked.
+    /// This instance sent one of the requests without a coordinator's grant.
     auto note_uncoordinated( core::instant at ) -> void;
 
     [[nodiscard]] auto per_second() const -> std::optional<double>
     {
         return known_.per_second();
     }
-    [[nodiscard]] auto held() const -> limit_report const&
+    [[nodiscard]] auto current_report() const -> limit_report const&
     {
-        return known_.held();
+        return known_.current_report();
     }
-    /// Requests of all instances in the last window, as far as this one knows.
+    /// Requests of all instances in the last window, as far as known here.
     [[nodiscard]] auto sent_in_window( core::instant now ) const -> std::size_t
     {
         return sent_.count_within( now );
     }
-    /// When the next request may be sent; long ago where there is no limit.
+    /// When the next request may be sent; the epoch where there is no limit.
     [[nodiscard]] auto next( limit_use use, limit_shares const& shares ) const
         -> core::instant;
-    /// Requests a second that this instance may send or hand out.
+    /// Requests a second that this instance may send or grant.
     [[nodiscard]] auto rate( limit_use use, limit_shares const& shares ) const
         -> double;
-    /// It has got nothing for so long that it cannot have said whether its
-    /// limit still holds.
+    /// True where the target has a limit and was sent nothing for so long that
+    /// the limit may no longer hold.
     [[nodiscard]] auto is_limit_stale( core::instant now ) const -> bool;
 
 private:
--- a/src/pollenstream/exchange/request_pace.hpp
+++ b/src/pollenstream/exchange/request_pace.hpp
@@ -10,55 +10,57 @@
 namespace pollenstream::exchange
 {
 
-/// How an instance may use a target's limit, which is meant for all together.
+/// How an instance may use a target's limit, which holds for all instances
+/// together.
 enum class limit_use
 {
-    for_all,       ///< it places for all instances, and knows of what they send
-    uncoordinated, ///< it sends without an answer of those who place for all
+    /// As the coordinator, which knows what all instances send.
+    coordinated,
+    /// On its own, without a coordinator's grant.
+    uncoordinated,
 };
 
-/// The parts of each limit that one instance may use.
+/// The fractions of each limit that one instance may use.
 struct limit_shares
 {
-    double for_all{ 1 };
+    double coordinated{ 1 };
     double uncoordinated{ 1 };
-    /// From 0 to 1, another one at each instance, so that what they send
-    /// unasked does not come at the same moment.
+    /// From 0 to 1, different at each instance, so that their uncoordinated
+    /// requests do not arrive at the same time.
     double phase{ 0 };
 };
 
-/// When the next request may be sent to a target that takes a number of them a
-/// second. They go out at equal distances, and nothing is saved up while there
-/// are none: not before the limit is known, and not while it is higher than
-/// what is sent.
+/// Paces the requests to a target with a rate limit. They are sent at equal
+/// intervals, and unused intervals earn no burst: neither those before the
+/// limit is known nor those in which fewer requests are sent than it allows.
 class request_pace
 {
 public:
-    auto begin( double per_second, core::instant now ) -> void;
-    auto change( double per_second, core::instant now ) -> void;
-    /// `requests` were sent at once, by whichever instance.
+    auto start( double per_second, core::instant now ) -> void;
+    auto set_rate( double per_second, core::instant now ) -> void;
+    /// An instance sent `requests` at the same time.
     auto note_sent( core::instant at, std::size_t requests ) -> void;
     auto note_uncoordinated( core::instant at ) -> void;
 
-    /// Earliest moment for the next request, given what has been sent.
+    /// Earliest time for the next request, given those that were sent.
     [[nodiscard]] auto next( limit_use use,
                              limit_shares const& shares,
                              sent_times const& sent ) const -> core::instant;
-    /// Requests a second at which it goes.
+    /// Requests a second.
     [[nodiscard]] auto rate() const -> double
     {
         return rate_;
     }
 
 private:
-    [[nodiscard]] auto next_for_all( double share,
-                                     sent_times const& sent ) const
+    [[nodiscard]] auto next_coordinated( double share,
+                                         sent_times const& sent ) const
         -> core::instant;
     [[nodiscard]] auto next_uncoordinated( limit_shares const& shares ) const
         -> core::instant;
 
     double rate_{ 1 };
-    core::instant began_;
+    core::instant started_at_;
     core::instant due_; ///< of the next request of all instances
     std::optional<core::instant> last_uncoordinated_;
 };
--- a/src/pollenstream/exchange/sent_times.cpp
+++ b/src/pollenstream/exchange/sent_times.cpp
@@ -34,11 +34,12 @@
     return static_cast<std::size_t>( times_.end() - first_within( now ) );
 }
 
-auto sent_times::fewer_than( std::size_t most ) const -> core::instant
+auto sent_times::time_with_fewer_than( std::size_t count ) const
+    -> core::instant
 {
-    if ( times_.size() < most )
+    if ( times_.size() < count )
         return {};
-    return times_[times_.size() - most] + window;
+    return times_[times_.size() - count] + window;
 }
 
 }
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -58,7 +58,7 @@
                                  exchange::limit_change change ) -> void
 {
     using exchange::limit_change;
-    if ( change == limit_change::named || change == limit_change::lowered )
+    if ( change == limit_change::started || change == limit_change::lowered )
         tell_coordinators( ref );
     pending_.limits.push_back( told( ref ) );
     tell_all_ = true;
@@ -80,7 +80,7 @@
 auto peer_group::told( exchange::target_ref const& ref ) const -> told_limit
 {
     auto const now = scheduler_.now();
-    auto const held = load_table_.find_lifetime( ref )->limit.held();
+    auto const held = load_table_.find_lifetime( ref )->limit.current_report();
     return { ref, held.per_second, core::milliseconds_of( now - held.sent_at ),
              core::milliseconds_of( now - held.heard_at ) };
 }
@@ -116,7 +116,7 @@
         log_.record( exchange::limit_state_change(
             l.target, change, l.per_second,
             "its answer to " + message.sender.str() ) );
-        if ( change == exchange::limit_change::named )
+        if ( change == exchange::limit_change::started )
             tell_coordinators( l.target );
     }
 }
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -187,7 +187,7 @@
 auto placement_router::send( pending_ptr const& which ) -> void
 {
     auto const next = next_coordinator( *which );
-    which->request.demand.limits = next ? exchange::limit_use::for_all
+    which->request.demand.limits = next ? exchange::limit_use::coordinated
                                         : exchange::limit_use::uncoordinated;
     if ( !next )
         counters_.own_choice.add();
