--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -196,7 +196,7 @@
         coordinator_.set_configuration( configuration );
         context_.configuration = std::move( configuration );
         update_ready();
-        wait_queue_.poke();
+        wait_queue_.schedule_round();
     };
     events.on_target_left = []( auto const& ) {};
     events.on_quarantine = [this]( auto const& key, auto const& value )
@@ -222,7 +222,7 @@
     };
     events.on_targets_changed = [this]
     {
-        wait_queue_.poke();
+        wait_queue_.schedule_round();
     };
     events.on_instance = [this]( auto const&, auto const& ip )
     {
@@ -250,7 +250,7 @@
     group_.set_ask_handler( router_ );
     group_.on_load_changed = [this]
     {
-        wait_queue_.poke();
+        wait_queue_.schedule_round();
     };
     group_.on_update = [this]( auto const& from, auto const& bytes )
     {
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -169,7 +169,7 @@
         current_->prefilling = false;
         shared_.loads.end_prefill( shared_.self, current_->serial, now );
         shared_.announcer.prefill_ended( current_->serial );
-        shared_.queue.poke();
+        shared_.queue.schedule_round();
     }
     if ( events_ == 0 )
         first_event_ = now - request_.received;
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -174,7 +174,7 @@
 auto exchange::has_repeat() -> bool
 {
     return targets_reached_ == 0 ||
-           shared_.retries.has( demand_.service, shared_.scheduler.now() );
+           shared_.retries.can_take( demand_.service, shared_.scheduler.now() );
 }
 
 auto exchange::take_repeat() -> bool
@@ -264,7 +264,7 @@
     if ( gone.memory )
         gone.memory->release();
     release( gone.serial, outcome );
-    shared_.queue.poke();
+    shared_.queue.schedule_round();
 }
 
 }
--- a/src/pollenstream/exchange/shared_retry_budget.cpp
+++ b/src/pollenstream/exchange/shared_retry_budget.cpp
@@ -8,9 +8,10 @@
 namespace
 {
 
-/// Part of the constant that is handed out: windows of instances do not start
-/// together, and instances that have just died count until they are forgotten.
-constexpr auto handed_out = 0.75;
+/// Fraction of the constant that is divided among the instances. The rest is a
+/// reserve: the windows of instances do not start together, and instances that
+/// have just died still count until they are forgotten.
+constexpr auto distributed_share = 0.75;
 
 }
 
@@ -29,48 +30,49 @@
     instances_ = std::max<std::size_t>( 1, count );
 }
 
-auto shared_retry_budget::forget_old( window& w, core::instant now ) const
-    -> void
+auto shared_retry_budget::drop_expired( window& recent,
+                                        core::instant now ) const -> void
 {
     auto const oldest = now - allowance_.window;
-    while ( !w.requests.empty() && w.requests.front() < oldest )
-        w.requests.pop_front();
-    while ( !w.repeats.empty() && w.repeats.front() < oldest )
-        w.repeats.pop_front();
+    while ( !recent.requests.empty() && recent.requests.front() < oldest )
+        recent.requests.pop_front();
+    while ( !recent.retries.empty() && recent.retries.front() < oldest )
+        recent.retries.pop_front();
 }
 
 auto shared_retry_budget::note_request( core::service_id const& service,
                                         core::instant now ) -> void
 {
-    auto& w = windows_[service];
-    forget_old( w, now );
-    w.requests.push_back( now );
+    auto& recent = windows_[service];
+    drop_expired( recent, now );
+    recent.requests.push_back( now );
 }
 
-auto shared_retry_budget::has_room( window const& w ) const -> bool
+auto shared_retry_budget::has_budget( window const& recent ) const -> bool
 {
     auto const allowed =
-        allowance_.ratio * static_cast<double>( w.requests.size() ) +
-        allowance_.constant * handed_out / static_cast<double>( instances_ );
-    return static_cast<double>( w.repeats.size() + 1 ) <= allowed;
+        allowance_.ratio * static_cast<double>( recent.requests.size() ) +
+        allowance_.constant * distributed_share /
+            static_cast<double>( instances_ );
+    return static_cast<double>( recent.retries.size() + 1 ) <= allowed;
 }
 
-auto shared_retry_budget::has( core::service_id const& service,
-                               core::instant now ) -> bool
+auto shared_retry_budget::can_take( core::service_id const& service,
+                                    core::instant now ) -> bool
 {
-    auto& w = windows_[service];
-    forget_old( w, now );
-    return has_room( w );
+    auto& recent = windows_[service];
+    drop_expired( recent, now );
+    return has_budget( recent );
 }
 
 auto shared_retry_budget::take( core::service_id const& service,
                                 core::instant now ) -> bool
 {
-    auto& w = windows_[service];
-    forget_old( w, now );
-    if ( !has_room( w ) )
+    auto& recent = windows_[service];
+    drop_expired( recent, now );
+    if ( !has_budget( recent ) )
         return false;
-    w.repeats.push_back( now );
+    recent.retries.push_back( now );
     return true;
 }
 
--- a/src/pollenstream/exchange/wait_queue.cpp
+++ b/src/pollenstream/exchange/wait_queue.cpp
@@ -12,11 +12,11 @@
 
 using namespace std::chrono_literals;
 
-/// Delay from a change of load to a round: changes come in groups.
-constexpr auto gather_time = core::duration( 1ms );
-/// Rounds while requests wait and nothing is heard; reading ends by the clock
-/// before anybody tells of it.
-constexpr auto idle_round = core::duration( 15ms );
+/// Delay from a change of load to a round, as changes come in groups.
+constexpr auto batch_delay = core::duration( 1ms );
+/// Interval of rounds while requests wait and no change is reported: a prefill
+/// ends by its predicted time before any instance reports it.
+constexpr auto idle_round_interval = core::duration( 15ms );
 
 }
 
@@ -24,35 +24,36 @@
 {
 }
 
-auto wait_queue::add( std::shared_ptr<waiting_item> who ) -> void
+auto wait_queue::add( std::shared_ptr<waiting_item> item ) -> void
 {
-    waiting_.push_back( std::move( who ) );
-    arm( idle_round );
+    waiting_.push_back( std::move( item ) );
+    schedule_round_in( idle_round_interval );
 }
 
-auto wait_queue::remove( waiting_item const* who ) -> void
+auto wait_queue::remove( waiting_item const* item ) -> void
 {
     std::erase_if( waiting_,
-                   [who]( auto const& w )
+                   [item]( auto const& other )
                    {
-                       return w.get() == who;
+                       return other.get() == item;
                    } );
     if ( in_round_ )
-        removed_.push_back( who );
+        removed_.push_back( item );
 }
 
-auto wait_queue::was_removed( waiting_item const* who ) const -> bool
+auto wait_queue::was_removed( waiting_item const* item ) const -> bool
 {
-    return std::find( removed_.begin(), removed_.end(), who ) != removed_.end();
+    return std::find( removed_.begin(), removed_.end(), item ) !=
+           removed_.end();
 }
 
-auto wait_queue::poke() -> void
+auto wait_queue::schedule_round() -> void
 {
     if ( !waiting_.empty() )
-        arm( gather_time );
+        schedule_round_in( batch_delay );
 }
 
-auto wait_queue::arm( core::duration delay ) -> void
+auto wait_queue::schedule_round_in( core::duration delay ) -> void
 {
     auto const at = scheduler_.now() + delay;
     if ( round_ && round_at_ <= at )
@@ -61,19 +62,20 @@
     round_ = scheduler_.call_after( delay,
                                     [this]
                                     {
-                                        auto const done = std::move( round_ );
+                                        auto const keep_alive =
+                                            std::move( round_ );
                                         run_round();
                                     } );
 }
 
-/// Takes it out where it does not wait any more. It may have begun to wait
-/// again meanwhile, with an entry of its own.
-auto wait_queue::try_one( std::shared_ptr<waiting_item> const& who ) -> bool
+/// Removes the item if it no longer waits. It may have been added again
+/// meanwhile, so that only its first entry is removed.
+auto wait_queue::try_item( std::shared_ptr<waiting_item> const& item ) -> bool
 {
-    if ( !who->try_start() )
+    if ( !item->try_start() )
         return false;
-    if ( !was_removed( who.get() ) )
-        waiting_.erase( std::find( waiting_.begin(), waiting_.end(), who ) );
+    if ( !was_removed( item.get() ) )
+        waiting_.erase( std::find( waiting_.begin(), waiting_.end(), item ) );
     return true;
 }
 
@@ -86,28 +88,29 @@
                       {
                           return a->order() < b->order();
                       } );
-    // The smallest size that found no room, by service and by kind of place.
-    auto no_room = std::map<std::pair<core::service_id, bool>, std::int64_t>{};
-    for ( auto const& who : round )
+    // Smallest item that found no capacity, by service and by `is_long()`.
+    auto smallest_unplaced =
+        std::map<std::pair<core::service_id, bool>, std::int64_t>{};
+    for ( auto const& item : round )
     {
-        if ( was_removed( who.get() ) )
+        if ( was_removed( item.get() ) )
             continue;
-        if ( who->is_always_tried() )
+        if ( item->is_always_tried() )
         {
-            try_one( who );
+            try_item( item );
             continue;
         }
-        auto const kind = std::pair( who->service(), who->is_long() );
-        auto const full = no_room.find( kind );
-        if ( full != no_room.end() && who->size() >= full->second )
+        auto const kind = std::pair( item->service(), item->is_long() );
+        auto const found = smallest_unplaced.find( kind );
+        if ( found != smallest_unplaced.end() && item->size() >= found->second )
             continue;
-        if ( !try_one( who ) )
-            no_room[kind] = who->size();
+        if ( !try_item( item ) )
+            smallest_unplaced[kind] = item->size();
     }
     in_round_ = false;
     removed_.clear();
     if ( !waiting_.empty() )
-        arm( idle_round );
+        schedule_round_in( idle_round_interval );
 }
 
 }
--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -74,7 +74,7 @@
         f.scheduler.run( 25ms );
         CHECK( f.targets.all.empty() );
         f.context.configuration = sample_configuration( 1 );
-        f.queue.poke();
+        f.queue.schedule_round();
         f.scheduler.run( 5ms );
         REQUIRE( f.targets.all.size() == 1 );
         // It is not refused for want of a configuration later.
@@ -86,7 +86,7 @@
     {
         f.start( f.request( "/nowhere/" ) );
         f.context.configuration = sample_configuration( 1 );
-        f.queue.poke();
+        f.queue.schedule_round();
         f.scheduler.run( 5ms );
         CHECK( f.answer->whole.status == 404 );
     }
@@ -94,7 +94,7 @@
     {
         f.start( f.request( "/chat/x" ) )->on_caller_gone();
         f.context.configuration = sample_configuration( 1 );
-        f.queue.poke();
+        f.queue.schedule_round();
         f.scheduler.run( 500ms );
         CHECK( f.targets.all.empty() );
         CHECK_FALSE( f.answer->ended );
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -138,13 +138,13 @@
     queue.add( small );
     queue.add( large );
     queue.add( first );
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( first->tries == 1 );
     CHECK( small->tries == 1 );
     CHECK( large->tries == 0 );
     has_room = true;
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( queue.size() == 0 );
 }
@@ -244,7 +244,7 @@
     queue.add( small );
     queue.add( always );
     queue.add( large );
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( always->tries == 1 );
     CHECK( large->tries == 0 );
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -226,7 +226,7 @@
     auto const other = f.request( "c", 1, 5'000 );
     REQUIRE( other->grants.empty() );
     f.coordinator.release( core::instance_id( "a" ), 1 );
-    f.queue.poke();
+    f.queue.schedule_round();
     f.scheduler.run( 30ms );
     CHECK( other->grants.size() == 1 );
     CHECK( kept_away->grants.empty() );
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -331,7 +331,7 @@
         CHECK( s.f.targets.all.size() == 2 );
         s.open->on_caller_gone();
         s.f.scheduler.run( 2'500ms );
-        CHECK_FALSE( s.f.retries.has( model, s.f.scheduler.now() ) );
+        CHECK_FALSE( s.f.retries.can_take( model, s.f.scheduler.now() ) );
     }
 }
 
--- a/tests/exchange/wait_queue_test.cpp
+++ b/tests/exchange/wait_queue_test.cpp
@@ -54,26 +54,26 @@
 
 }
 
-TEST_CASE( "one that begins to wait again while it is tried is not forgotten",
+TEST_CASE( "an item that is added again while it is tried keeps its new entry",
            "[waiting_room]" )
 {
     auto scheduler = held_scheduler{};
     auto queue = exchange::wait_queue( scheduler );
-    auto const who = std::make_shared<scripted_item>( 1 );
-    // The place that it gets at once turns out to be of no use.
-    who->on_try = [&]
+    auto const item = std::make_shared<scripted_item>( 1 );
+    // The first try starts the item, but its target fails at once.
+    item->on_try = [&]
     {
-        if ( who->tries == 1 )
-            queue.add( who );
+        if ( item->tries == 1 )
+            queue.add( item );
         return true;
     };
-    queue.add( who );
+    queue.add( item );
     scheduler.run( 100ms );
-    CHECK( who->tries == 2 );
+    CHECK( item->tries == 2 );
     CHECK( queue.size() == 0 );
 }
 
-TEST_CASE( "one that has been taken out within a round is not tried in it",
+TEST_CASE( "an item that is removed during a round is not tried in it",
            "[waiting_room]" )
 {
     auto scheduler = held_scheduler{};
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -492,7 +492,7 @@
     group.set_ask_handler( router_ );
     group.on_load_changed = [this]
     {
-        wait_queue_.poke();
+        wait_queue_.schedule_round();
     };
     group.on_size_changed = [this]
     {
