--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -183,8 +183,7 @@
            decided.refused.value() );
     count( "pollenstream_refused_for_limits_total", "",
            decided.limited.value() );
-    count( "pollenstream_asks_repeated_total", "",
-           decided.asked_again.value() );
+    count( "pollenstream_asks_repeated_total", "", decided.repeated.value() );
     count( "pollenstream_peer_datagrams_total", "",
            group.sent().datagrams.value() );
     count( "pollenstream_peer_bytes_total", "", group.sent().bytes.value() );
--- a/src/pollenstream/exchange/placement_client.hpp
+++ b/src/pollenstream/exchange/placement_client.hpp
@@ -14,69 +14,74 @@
 namespace pollenstream::exchange
 {
 
-/// A prompt for which an instance asks targets.
+/// A request for targets, for one prompt or plain call.
 struct placement_request
 {
     core::instance_id requester;
-    std::uint64_t serial{ 0 }; ///< of the work at the asker, unique there
+    std::uint64_t serial{ 0 }; ///< of the work, unique at the requester
     attempt_id attempt;        ///< for logs
     content_id content;
-    /// Targets that may have ended by runs of the content, as the asker knows.
+    /// Targets that may have crashed on the content, as far as the requester
+    /// knows.
     std::vector<target_ref> crashed_at;
-    /// What the choice depends on. Times are as of when the ask was made; who
-    /// decides fills in what waits there.
+    /// What the choice depends on. Times are as of the request; the coordinator
+    /// fills in what depends on its own queue.
     placement_demand demand;
-    int priority{ 0 };
-    /// Nothing of it has run, so that it may be refused.
+    int priority{ 0 }; ///< lower values go first
+    /// True where no part of the prompt has run yet.
     bool may_be_refused{ true };
 };
 
-/// Targets that a prompt has got.
+/// The targets that a prompt was granted.
 struct placement_grant
 {
-    std::uint64_t serial{ 0 }; ///< under which the work is known to others
+    std::uint64_t serial{ 0 }; ///< of the work, as in the request
     placement_choice choice;
     core::instance_id decided_by;
-    /// The content is under suspicion; where it is served, others are told.
+    /// The content may have crashed targets. If it is served, the requester
+    /// tells the other instances.
     bool is_suspect{ false };
 };
 
-/// Why a prompt gets no targets.
+/// Why a prompt was refused.
 struct placement_refusal
 {
     std::string reason;
-    core::duration retry_after{ 0 }; ///< zero: coming back is no use
+    core::duration retry_after{ 0 }; ///< zero: a retry is pointless
 };
 
-/// Hears what becomes of an ask: any number of `on_queued`, then one of the
-/// others, unless the ask is withdrawn.
+/// Receives the outcome of a placement request: any number of `on_queued`, then
+/// one of the others, unless the request is withdrawn.
 class placement_listener
 {
 public:
     virtual ~placement_listener() = default;
     virtual auto on_granted( placement_grant grant ) -> void = 0;
     virtual auto on_refused( placement_refusal refusal ) -> void = 0;
-    /// No room now; `waiting` asks wait there.
+    /// No target has capacity now; `waiting` requests wait at the coordinator.
     virtual auto on_queued( std::size_t waiting ) -> void = 0;
 };
 
-/// An ask that has not been decided. It is withdrawn when this goes.
+/// A placement request that is not decided yet. Destroying it withdraws the
+/// request.
 class open_placement
 {
 public:
     virtual ~open_placement() = default;
 };
 
-/// Gets targets for prompts.
+/// Obtains targets for prompts from a coordinator.
 class placement_client
 {
 public:
     virtual ~placement_client() = default;
-    /// May answer before it returns. `what.serial` is given out by the caller.
-    virtual auto request( placement_request what,
+    /// May call `listener` before it returns. The caller sets
+    /// `new_request.serial`.
+    virtual auto request( placement_request new_request,
                           std::shared_ptr<placement_listener> listener )
         -> std::unique_ptr<open_placement> = 0;
-    /// This instance is the one that is asked first.
+    /// True where this instance is the active coordinator, which requesters try
+    /// first.
     [[nodiscard]] virtual auto is_active_coordinator() const -> bool = 0;
     /// The work of a grant has ended.
     virtual auto release( std::uint64_t serial ) -> void = 0;
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -14,29 +14,32 @@
 
 using namespace std::chrono_literals;
 
-/// Added to the order of a prompt that is past its objective, in seconds: it
-/// earns less than one that can still be in time.
+/// Seconds added to the order of a prompt that has missed its latency
+/// objective: a late answer is worth less than one that can still be in time.
 constexpr auto late_penalty = 1'000.0;
+/// Seconds added per priority level, so that the level outweighs due times and
+/// the penalty for lateness.
 constexpr auto priority_step = 100'000.0;
-/// A caller that is refused for a limit is not sent back at once.
-constexpr auto shortest_return = core::duration( 20ms );
+/// Minimum Retry-After of a refusal for a limit: the caller must not repeat the
+/// request at once.
+constexpr auto min_retry_delay = core::duration( 20ms );
 
 }
 
-/// One ask that waits here for room.
-class placement_coordinator::queued_prompt : public waiting_item
+/// A placement request that waits for capacity at a target.
+class placement_coordinator::queued_request : public waiting_item
 {
 public:
-    queued_prompt( placement_coordinator& owner,
-                   placement_request what,
-                   service_settings const& settings,
-                   std::shared_ptr<placement_listener> listener )
-        : request( std::move( what ) ), owner_( owner ),
+    queued_request( placement_coordinator& owner,
+                    placement_request new_request,
+                    service_settings const& settings,
+                    std::shared_ptr<placement_listener> listener )
+        : request( std::move( new_request ) ), owner_( owner ),
           listener_( std::move( listener ) ),
           received_( owner.scheduler_.now() - request.demand.waited ),
           deadline_( owner.scheduler_.now() + request.demand.time_left ),
-          patience_until_( owner.scheduler_.now() +
-                           request.demand.patience_left ),
+          patience_deadline_( owner.scheduler_.now() +
+                              request.demand.patience_left ),
           is_long_( settings.engine &&
                     is_long_prompt( *settings.engine, request.demand ) ),
           is_split_( settings.engine &&
@@ -58,16 +61,16 @@
     {
         return is_long_;
     }
-    /// Held back for its own sake, or kept from some of the targets, it says
-    /// nothing of the room for others. One that waits for a limit is told as
-    /// soon as it cannot be in time.
+    /// A prompt that is held back for its content, or may not use some of the
+    /// targets, can fail where others succeed. One that waits for a limit is
+    /// tried in each round to refuse it as soon as it cannot be in time.
     [[nodiscard]] auto is_always_tried() const -> bool override
     {
         return is_held_back_ || limited_since_ ||
                !request.demand.tried.empty() || !request.demand.paused.empty();
     }
 
-    /// Takes over where the same ask comes again.
+    /// Replaces the listener when the request is repeated.
     auto set_listener( std::shared_ptr<placement_listener> listener ) -> void
     {
         listener_ = std::move( listener );
@@ -76,8 +79,8 @@
     {
         return *listener_;
     }
-    auto wait() -> void;
-    /// Gives up what it holds; no answer follows.
+    auto start_waiting() -> void;
+    /// Leaves the queue of split prompts without an answer to the listener.
     auto close() -> void;
 
     placement_request request;
@@ -87,41 +90,44 @@
     {
         return received_ + request.demand.latency_objective;
     }
-    /// Where a caller has a part of the answer already, or a silent target that
-    /// may speak, its patience is not known: behind it, its time counts.
-    [[nodiscard]] auto waits_until( core::instant now ) const -> core::instant
+    /// When the prompt stops waiting. A caller that has received part of the
+    /// answer, or whose silent target may still answer, has no known patience:
+    /// once the assumed one is over, the deadline of the request applies.
+    [[nodiscard]] auto wait_deadline( core::instant now ) const -> core::instant
     {
-        auto const is_past = now > patience_until_;
-        return is_past && !request.may_be_refused ? deadline_ : patience_until_;
+        auto const is_past = now > patience_deadline_;
+        return is_past && !request.may_be_refused ? deadline_
+                                                  : patience_deadline_;
     }
     auto refresh_demand( core::instant now ) -> void;
     auto try_choose( core::instant now ) -> bool;
     auto wait_for_limit( core::instant now ) -> bool;
-    [[nodiscard]] auto is_hopeless( service_settings const& settings ) const
+    [[nodiscard]] auto
+    should_refuse_as_late( service_settings const& settings ) const -> bool;
+    [[nodiscard]] auto should_yield( placement_choice const& choice ) const
         -> bool;
-    [[nodiscard]] auto yields( placement_choice const& choice ) const -> bool;
     auto enter_split_queue() -> void;
     auto leave_split_queue() -> void;
     auto grant( placement_choice choice ) -> bool;
     auto refuse( std::string reason, core::duration retry_after ) -> bool;
-    auto predicted_room( service_settings const& settings ) const
+    auto retry_delay_when_full( service_settings const& settings ) const
         -> core::duration;
 
     placement_coordinator& owner_;
     std::shared_ptr<placement_listener> listener_;
     core::instant received_;
     core::instant deadline_;
-    core::instant patience_until_;
+    core::instant patience_deadline_;
     bool is_long_{ false };
     bool is_split_{ false };
     bool in_split_queue_{ false };
     bool was_tried_{ false };
-    bool is_held_back_{ false }; ///< until another run of the same has ended
-    /// Since when all targets that are left have got what they take.
+    bool is_held_back_{ false }; ///< until another run of the content ends
+    /// Since when the limits of all remaining targets are used up.
     std::optional<core::instant> limited_since_;
 };
 
-auto placement_coordinator::queued_prompt::order() const -> double
+auto placement_coordinator::queued_request::order() const -> double
 {
     auto const seconds = core::seconds_of( due().time_since_epoch() );
     auto const is_late = owner_.scheduler_.now() > due();
@@ -129,14 +135,14 @@
            request.priority * priority_step;
 }
 
-auto placement_coordinator::queued_prompt::refresh_demand( core::instant now )
+auto placement_coordinator::queued_request::refresh_demand( core::instant now )
     -> void
 {
     auto& demand = request.demand;
     auto const& split_prompts = owner_.load_table_.split_prompts();
     demand.waited = now - received_;
     demand.time_left = deadline_ - now;
-    demand.patience_left = waits_until( now ) - now;
+    demand.patience_left = wait_deadline( now ) - now;
     demand.crashes = owner_.crashes_.count( request.content );
     demand.is_alone = ( in_split_queue_ ? split_prompts.others( due() )
                                         : split_prompts.size() ) == 0;
@@ -146,12 +152,13 @@
         std::uniform_real_distribution<double>( 0, 1 )( owner_.random_ );
 }
 
-auto placement_coordinator::queued_prompt::try_start() -> bool
+auto placement_coordinator::queued_request::try_start() -> bool
 {
     auto const now = owner_.scheduler_.now();
-    // Its asker has withdrawn it, which has not been heard, or has ended. One
-    // that may be past its time when it comes gets one try.
-    auto const is_over = now > waits_until( now );
+    // Past its time, nobody waits for the answer: the requester has ended, or
+    // its withdrawal has not arrived. A request that arrives late is tried
+    // once.
+    auto const is_over = now > wait_deadline( now );
     if ( std::exchange( was_tried_, true ) && is_over )
     {
         close();
@@ -161,7 +168,7 @@
     return try_choose( now );
 }
 
-auto placement_coordinator::queued_prompt::try_choose( core::instant now )
+auto placement_coordinator::queued_request::try_choose( core::instant now )
     -> bool
 {
     auto const* const settings =
@@ -171,15 +178,16 @@
     if ( owner_.crashes_.is_quarantined( request.content ) )
         return refuse( quarantined_reason, 0ms );
     refresh_demand( now );
-    // Its next run tells whether it ends its targets: one at a time.
+    // The next run may crash its target, and its outcome decides on the
+    // quarantine of the content: one run at a time.
     is_held_back_ =
         owner_.crashes_.awaits_proof( request.content ) ||
         ( request.demand.crashes + 1 >= crash_history::crashes_to_quarantine &&
-          owner_.runs_now( request.content ) );
+          owner_.is_running( request.content ) );
     if ( is_held_back_ )
         return false;
     auto result = owner_.chooser_.choose( request.demand, *settings, now );
-    if ( result.choice && yields( *result.choice ) )
+    if ( result.choice && should_yield( *result.choice ) )
         result = not_placed( placement_obstacle::full );
     if ( result.choice )
     {
@@ -191,38 +199,41 @@
         return refuse( "too_large", 0ms );
     if ( result.reason == placement_obstacle::limited )
         return wait_for_limit( now );
-    // A plain call waits for nothing else, unless its answer has begun.
+    // A plain call waits only for limits, unless it may have run already.
     if ( !settings->engine && request.may_be_refused )
         return refuse( "no_targets", retry_after_no_target );
-    if ( is_hopeless( *settings ) )
-        return refuse( "no_room_in_time", predicted_room( *settings ) );
+    if ( should_refuse_as_late( *settings ) )
+        return refuse( "no_room_in_time", retry_delay_when_full( *settings ) );
     return false;
 }
 
-/// Refuses what cannot be in time by the limits of the targets that are left.
-/// One that comes while others wait has to be within its objective, as what is
-/// late takes the place of what is not; else its caller's patience counts.
-auto placement_coordinator::queued_prompt::wait_for_limit( core::instant now )
+/// Refuses a request that the limits of the remaining targets do not let start
+/// in time. One that arrives while others wait has to start within its latency
+/// objective, since a late request takes the slot of one that is in time. Any
+/// other may wait as long as its caller does.
+auto placement_coordinator::queued_request::wait_for_limit( core::instant now )
     -> bool
 {
     auto const capacity = owner_.chooser_.capacity_by_limits( request.demand );
-    auto const ahead = owner_.waiting_before( *this );
+    auto const ahead = owner_.count_waiting_ahead( *this );
     auto const is_first_try = !limited_since_;
     limited_since_ = limited_since_.value_or( now );
     if ( !capacity || !request.may_be_refused )
         return false;
-    auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
+    auto const latest =
+        is_first_try && ahead > 0 ? due() : wait_deadline( now );
     if ( capacity->behind( ahead ) <= latest )
         return false;
     owner_.counters_.limited.add();
-    return refuse( limited_reason, owner_.time_to_return( *this, *capacity ) );
+    return refuse( limited_reason,
+                   owner_.next_retry_delay( *this, *capacity ) );
 }
 
-/// True for a wide prompt that cannot be in time any more while others wait
-/// that can: it would be kept waiting until its caller leaves. Told at once,
-/// the caller comes back while there is time. One that may have run is not
-/// refused.
-auto placement_coordinator::queued_prompt::is_hopeless(
+/// True for a split prompt that cannot meet its latency objective while another
+/// one that can is waiting: it would wait until its caller leaves. Refused at
+/// once, the caller can retry while there is time. A prompt that may have run
+/// is not refused.
+auto placement_coordinator::queued_request::should_refuse_as_late(
     service_settings const& settings ) const -> bool
 {
     return is_split_ && request.may_be_refused &&
@@ -230,10 +241,10 @@
            owner_.chooser_.is_too_late( request.demand, settings );
 }
 
-/// True where a wide prompt would be late with `choice` while others wait that
-/// can be in time: in a wave engines that serve the oldest first serve all of
-/// them late.
-auto placement_coordinator::queued_prompt::yields(
+/// True where a split prompt would be late with `choice` while another one that
+/// can be in time is waiting. In a burst of split prompts, serving the oldest
+/// first would make all of them late.
+auto placement_coordinator::queued_request::should_yield(
     placement_choice const& choice ) const -> bool
 {
     auto const first = request.demand.waited +
@@ -243,30 +254,30 @@
            first > request.demand.latency_objective;
 }
 
-auto placement_coordinator::queued_prompt::enter_split_queue() -> void
+auto placement_coordinator::queued_request::enter_split_queue() -> void
 {
     if ( is_split_ && !std::exchange( in_split_queue_, true ) )
         owner_.load_table_.split_prompts().enter( due() );
 }
 
-auto placement_coordinator::queued_prompt::leave_split_queue() -> void
+auto placement_coordinator::queued_request::leave_split_queue() -> void
 {
     if ( std::exchange( in_split_queue_, false ) )
         owner_.load_table_.split_prompts().leave( due() );
 }
 
-auto placement_coordinator::queued_prompt::wait() -> void
+auto placement_coordinator::queued_request::start_waiting() -> void
 {
     enter_split_queue();
     listener_->on_queued( owner_.waiting_.size() );
 }
 
-auto placement_coordinator::queued_prompt::close() -> void
+auto placement_coordinator::queued_request::close() -> void
 {
     leave_split_queue();
 }
 
-auto placement_coordinator::queued_prompt::grant( placement_choice choice )
+auto placement_coordinator::queued_request::grant( placement_choice choice )
     -> bool
 {
     leave_split_queue();
@@ -274,8 +285,8 @@
     return true;
 }
 
-auto placement_coordinator::queued_prompt::refuse( std::string reason,
-                                                   core::duration retry_after )
+auto placement_coordinator::queued_request::refuse( std::string reason,
+                                                    core::duration retry_after )
     -> bool
 {
     close();
@@ -286,7 +297,7 @@
     return true;
 }
 
-auto placement_coordinator::queued_prompt::predicted_room(
+auto placement_coordinator::queued_request::retry_delay_when_full(
     service_settings const& settings ) const -> core::duration
 {
     return pause_until_room(
@@ -325,74 +336,74 @@
     return settings != nullptr;
 }
 
-auto placement_coordinator::others_waiting( queued_prompt const& who ) const
-    -> std::size_t
+auto placement_coordinator::count_other_waiting(
+    queued_request const& item ) const -> std::size_t
 {
     return static_cast<std::size_t>(
         std::count_if( waiting_.begin(), waiting_.end(),
                        [&]( auto const& entry )
                        {
-                           return entry.second.get() != &who &&
-                                  entry.second->service() == who.service();
+                           return entry.second.get() != &item &&
+                                  entry.second->service() == item.service();
                        } ) );
 }
 
-auto placement_coordinator::waiting_before( queued_prompt const& who ) const
-    -> std::size_t
+auto placement_coordinator::count_waiting_ahead(
+    queued_request const& item ) const -> std::size_t
 {
-    auto const order = who.order();
+    auto const order = item.order();
     return static_cast<std::size_t>(
         std::count_if( waiting_.begin(), waiting_.end(),
                        [&]( auto const& entry )
                        {
-                           return entry.second.get() != &who &&
-                                  entry.second->service() == who.service() &&
+                           return entry.second.get() != &item &&
+                                  entry.second->service() == item.service() &&
                                   entry.second->order() <= order;
                        } ) );
 }
 
-/// Callers that are refused come back one after the other, as the targets take
-/// them, behind those that wait. A moment that is past a caller's time is only
-/// told, and kept for others.
-auto placement_coordinator::time_to_return( queued_prompt const& who,
-                                            limited_capacity const& capacity )
+/// Spreads the retries of refused callers at the rate of the targets' limits,
+/// behind the requests that wait. A retry time past the caller's deadline is
+/// returned but not reserved, so that another caller can have it.
+auto placement_coordinator::next_retry_delay( queued_request const& item,
+                                              limited_capacity const& capacity )
     -> core::duration
 {
-    auto const& demand = who.request.demand;
+    auto const& demand = item.request.demand;
     auto const now = scheduler_.now();
-    auto& last = returns_[demand.service];
+    auto& last = retry_times_[demand.service];
     auto const next = last + core::duration_of( 1 / capacity.per_second );
-    auto const at =
-        std::max( { now, capacity.behind( others_waiting( who ) ), next } );
+    auto const at = std::max(
+        { now, capacity.behind( count_other_waiting( item ) ), next } );
     if ( at - now < demand.time_left )
         last = at;
-    return std::max( at - now, shortest_return );
+    return std::max( at - now, min_retry_delay );
 }
 
-auto placement_coordinator::add_work( queued_prompt const& who,
+auto placement_coordinator::add_work( queued_request const& item,
                                       placement_choice const& choice ) -> void
 {
     auto work = open_work{};
-    work.serial = who.request.serial;
+    work.serial = item.request.serial;
     work.parts = choice.parts;
-    work.context_tokens = who.request.demand.prompt_tokens;
+    work.context_tokens = item.request.demand.prompt_tokens;
     work.tolerated_gap_ms =
-        core::milliseconds_of( who.request.demand.gap_objective );
-    work.is_suspect = who.request.demand.crashes > 0;
+        core::milliseconds_of( item.request.demand.gap_objective );
+    work.is_suspect = item.request.demand.crashes > 0;
     work.reserves = choice.needs_reservation;
     auto const now = scheduler_.now();
-    auto const use = who.request.demand.limits;
+    auto const use = item.request.demand.limits;
     for ( auto const& target : choice.targets )
         core::check_invariant( core::invariant::limit_holds,
                                load_table_.may_send( *target, use, now ),
                                "target " + target->properties.id.str() +
-                                   " is granted over its limit" );
+                                   " was granted beyond its limit" );
     if ( use == limit_use::uncoordinated )
         load_table_.note_uncoordinated( work.parts, now );
-    load_table_.add_work( who.request.requester, work, now );
+    load_table_.add_work( item.request.requester, work, now );
 }
 
-auto placement_coordinator::runs_now( content_id content ) const -> bool
+auto placement_coordinator::is_running( content_id content ) const -> bool
 {
     return std::any_of( granted_.begin(), granted_.end(),
                         [content]( auto const& entry )
@@ -401,76 +412,77 @@
                         } );
 }
 
-auto placement_coordinator::grant( queued_prompt const& who,
+auto placement_coordinator::grant( queued_request const& item,
                                    placement_choice choice ) -> void
 {
-    auto const name = key{ who.request.requester, who.request.serial };
-    auto const found = waiting_.find( name );
+    auto const key = request_key{ item.request.requester, item.request.serial };
+    auto const found = waiting_.find( key );
     core::check_invariant(
         core::invariant::ends_in_time, found != waiting_.end(),
-        "grant to " + who.request.attempt.str() + ", which does not wait" );
-    // Keeps the prompt until the end of this call.
-    auto const keep = found->second;
+        "grant to " + item.request.attempt.str() + ", which is not waiting" );
+    // Keeps `item` alive until the end of this call.
+    auto const kept_item = found->second;
     waiting_.erase( found );
-    add_work( *keep, choice );
+    add_work( *kept_item, choice );
     counters_.granted.add();
-    auto const is_suspect = keep->request.demand.crashes > 0;
-    granted_[name] = { choice, keep->request.content, is_suspect };
-    keep->listener().on_granted(
-        { name.second, std::move( choice ), self_, is_suspect } );
+    auto const is_suspect = kept_item->request.demand.crashes > 0;
+    granted_[key] = { choice, kept_item->request.content, is_suspect };
+    kept_item->listener().on_granted(
+        { key.second, std::move( choice ), self_, is_suspect } );
 }
 
 auto placement_coordinator::request(
-    placement_request what, std::shared_ptr<placement_listener> listener )
-    -> void
+    placement_request new_request,
+    std::shared_ptr<placement_listener> listener ) -> void
 {
-    auto const name = key{ what.requester, what.serial };
-    auto const granted = granted_.find( name );
+    auto const key = request_key{ new_request.requester, new_request.serial };
+    auto const granted = granted_.find( key );
     if ( granted != granted_.end() )
     {
-        counters_.asked_again.add();
-        return listener->on_granted( { name.second, granted->second.choice,
+        counters_.repeated.add();
+        return listener->on_granted( { key.second, granted->second.choice,
                                        self_, granted->second.is_suspect } );
     }
-    auto const waits = waiting_.find( name );
-    if ( waits != waiting_.end() )
+    auto const queued = waiting_.find( key );
+    if ( queued != waiting_.end() )
     {
-        counters_.asked_again.add();
-        waits->second->set_listener( listener );
+        counters_.repeated.add();
+        queued->second->set_listener( listener );
         return listener->on_queued( waiting_.size() );
     }
-    counters_.asked.add();
-    for ( auto const& target : what.crashed_at )
-        crashes_.note_crash( { what.content, target, scheduler_.now() } );
-    if ( !knows( what.demand.service ) )
+    counters_.requests.add();
+    for ( auto const& target : new_request.crashed_at )
+        crashes_.note_crash(
+            { new_request.content, target, scheduler_.now() } );
+    if ( !knows( new_request.demand.service ) )
     {
         counters_.refused.add();
         return listener->on_refused( { "unknown_service", 0ms } );
     }
     auto const* const settings =
-        configuration_->find_service( what.demand.service );
-    auto const who = std::make_shared<queued_prompt>(
-        *this, std::move( what ), *settings, std::move( listener ) );
-    waiting_.emplace( name, who );
-    if ( who->try_start() )
+        configuration_->find_service( new_request.demand.service );
+    auto const item = std::make_shared<queued_request>(
+        *this, std::move( new_request ), *settings, std::move( listener ) );
+    waiting_.emplace( key, item );
+    if ( item->try_start() )
         return;
-    wait_queue_.add( who );
-    who->wait();
+    wait_queue_.add( item );
+    item->start_waiting();
 }
 
 auto placement_coordinator::release( core::instance_id const& requester,
                                      std::uint64_t serial ) -> void
 {
-    auto const name = key{ requester, serial };
-    auto const found = waiting_.find( name );
+    auto const key = request_key{ requester, serial };
+    auto const found = waiting_.find( key );
     if ( found != waiting_.end() )
     {
-        auto const who = found->second;
+        auto const item = found->second;
         waiting_.erase( found );
-        who->close();
-        wait_queue_.remove( who.get() );
+        item->close();
+        wait_queue_.remove( item.get() );
     }
-    granted_.erase( name );
+    granted_.erase( key );
     load_table_.end_work( requester, serial, scheduler_.now() );
 }
 
@@ -478,17 +490,17 @@
                                        std::set<std::uint64_t> const& open )
     -> void
 {
-    auto gone = std::vector<std::uint64_t>{};
+    auto ended = std::vector<std::uint64_t>{};
     auto const collect = [&]( auto const& all )
     {
         for ( auto at = all.lower_bound( { requester, 0 } );
               at != all.end() && at->first.first == requester; ++at )
             if ( !open.contains( at->first.second ) )
-                gone.push_back( at->first.second );
+                ended.push_back( at->first.second );
     };
     collect( waiting_ );
     collect( granted_ );
-    for ( auto const serial : gone )
+    for ( auto const serial : ended )
         release( requester, serial );
 }
 
--- a/src/pollenstream/exchange/placement_coordinator.hpp
+++ b/src/pollenstream/exchange/placement_coordinator.hpp
@@ -20,23 +20,23 @@
 namespace pollenstream::exchange
 {
 
-/// Counts over all asks that were decided here.
+/// Counts of the placement requests at this coordinator.
 struct coordinator_counters
 {
-    core::counter asked;
+    core::counter requests;
     core::counter granted;
     core::counter refused;
-    core::counter asked_again; ///< a repeated ask; its answer may be lost
-    core::counter limited;     ///< refused for targets' limits
+    core::counter repeated; ///< received again; the answer may be lost
+    core::counter limited;  ///< refused because of targets' limits
 };
 
-/// Chooses targets for the prompts of all instances that ask here. One
-/// decision follows the other on one board, so that nothing is given out twice,
-/// and all that wait wait in one order.
+/// Chooses targets for the prompts of all instances that send it placement
+/// requests. It decides one at a time on one load table, so that no capacity is
+/// granted twice, and keeps all waiting requests in one order.
 ///
-/// Every instance has one. Which of them is asked is decided elsewhere; two
-/// that are asked at the same time hear of each other's grants from the askers
-/// and may meet at an engine until then.
+/// Every instance has a coordinator, and the requesters decide which one they
+/// use. Two that are in use at the same time learn of each other's grants from
+/// the requesters; until then both may choose the same engine.
 class placement_coordinator
 {
 public:
@@ -56,17 +56,17 @@
     /// False where the configuration names no such service, or is not known.
     [[nodiscard]] auto knows( core::service_id const& service ) const -> bool;
 
-    /// Decides now, or when there is room. The same ask again gets the answer
-    /// that it had.
-    auto request( placement_request what,
+    /// Decides now, or when a target has capacity. A request that is repeated
+    /// gets the same grant again, or keeps its place in the queue.
+    auto request( placement_request new_request,
                   std::shared_ptr<placement_listener> listener ) -> void;
-    /// The ask is withdrawn, or the work of its grant has ended.
+    /// The request is withdrawn, or the granted work has ended.
     auto release( core::instance_id const& requester, std::uint64_t serial )
         -> void;
-    /// Releases all of `requester` but what is in `open`.
+    /// Releases everything of `requester` that is not in `open`.
     auto keep_only( core::instance_id const& requester,
                     std::set<std::uint64_t> const& open ) -> void;
-    /// The asker has ended.
+    /// Releases everything of `requester`, which has ended.
     auto forget( core::instance_id const& requester ) -> void;
 
     [[nodiscard]] auto waiting() const -> std::size_t
@@ -79,11 +79,11 @@
     }
 
 private:
-    class queued_prompt;
-    friend class queued_prompt;
-    using key = std::pair<core::instance_id, std::uint64_t>;
+    class queued_request;
+    friend class queued_request;
+    using request_key = std::pair<core::instance_id, std::uint64_t>;
 
-    /// A grant whose work has not ended.
+    /// A grant whose work has not ended yet.
     struct open_grant
     {
         placement_choice choice;
@@ -91,21 +91,22 @@
         bool is_suspect{ false };
     };
 
-    /// When a service's refused callers are to come back, as far as it has
-    /// been said: each has a moment of its own.
-    using return_times = std::map<core::service_id, core::instant>;
+    /// The latest retry time that was given to a refused caller of a service;
+    /// each caller gets its own, one after the other.
+    using retry_times = std::map<core::service_id, core::instant>;
 
-    [[nodiscard]] auto runs_now( content_id content ) const -> bool;
-    /// Asks for the same service beside `who`, and those of them before it.
-    [[nodiscard]] auto others_waiting( queued_prompt const& who ) const
+    [[nodiscard]] auto is_running( content_id content ) const -> bool;
+    /// Number of other requests that wait for the same service.
+    [[nodiscard]] auto count_other_waiting( queued_request const& item ) const
         -> std::size_t;
-    [[nodiscard]] auto waiting_before( queued_prompt const& who ) const
+    /// Those of them that are tried before `item`.
+    [[nodiscard]] auto count_waiting_ahead( queued_request const& item ) const
         -> std::size_t;
-    [[nodiscard]] auto time_to_return( queued_prompt const& who,
-                                       limited_capacity const& capacity )
+    [[nodiscard]] auto next_retry_delay( queued_request const& item,
+                                         limited_capacity const& capacity )
         -> core::duration;
-    auto grant( queued_prompt const& who, placement_choice choice ) -> void;
-    auto add_work( queued_prompt const& who, placement_choice const& choice )
+    auto grant( queued_request const& item, placement_choice choice ) -> void;
+    auto add_work( queued_request const& item, placement_choice const& choice )
         -> void;
 
     core::instance_id self_;
@@ -116,10 +117,10 @@
     wait_queue& wait_queue_;
     event_log& log_;
     configuration_ptr configuration_;
-    std::map<key, std::shared_ptr<queued_prompt>> waiting_;
-    /// For askers that have not heard their answer.
-    std::map<key, open_grant> granted_;
-    return_times returns_;
+    std::map<request_key, std::shared_ptr<queued_request>> waiting_;
+    /// Kept until release, also to answer repeated requests.
+    std::map<request_key, open_grant> granted_;
+    retry_times retry_times_;
     coordinator_counters counters_;
     std::minstd_rand random_;
 };
--- a/tests/exchange/placement_coordinator_test.cpp
+++ b/tests/exchange/placement_coordinator_test.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// A coordinator before `engines` engines and nothing else.
+/// A coordinator with `engines` engines as its only targets.
 struct coordinator_fixture : exchange_fixture
 {
     explicit coordinator_fixture( int engines )
@@ -28,25 +28,24 @@
                   exchange::content_id content = {} )
         -> std::shared_ptr<recorded_placement>
     {
-        auto what = exchange::placement_request{};
-        what.content = content;
-        what.requester = core::instance_id( requester );
-        what.serial = serial;
-        what.demand.service = core::service_id( "model" );
-        what.demand.prompt_tokens = tokens;
-        what.demand.output_tokens = 1'000;
+        auto new_request = exchange::placement_request{};
+        new_request.content = content;
+        new_request.requester = core::instance_id( requester );
+        new_request.serial = serial;
+        new_request.demand.service = core::service_id( "model" );
+        new_request.demand.prompt_tokens = tokens;
+        new_request.demand.output_tokens = 1'000;
         auto const is_short = tokens < 10'000;
-        what.demand.latency_objective = is_short ? 300ms : 3s;
-        what.demand.gap_objective = is_short ? 200ms : 800ms;
-        what.demand.min_gap_objective = 200ms;
-        what.demand.time_left = 15s;
-        what.demand.patience_left = 12s;
+        new_request.demand.latency_objective = is_short ? 300ms : 3s;
+        new_request.demand.gap_objective = is_short ? 200ms : 800ms;
+        new_request.demand.min_gap_objective = 200ms;
+        new_request.demand.time_left = 15s;
+        new_request.demand.patience_left = 12s;
         auto const answer = std::make_shared<recorded_placement>();
-        coordinator.request( std::move( what ), answer );
+        coordinator.request( std::move( new_request ), answer );
         return answer;
     }
-    /// As much as one engine reads within the longest time that a prompt may
-    /// take behind others.
+    /// Gives one engine as much prefill as a prompt may wait for behind others.
     auto fill_one_engine() -> void
     {
         REQUIRE( request( "a", 1, 60'000 )->grants.size() == 1 );
@@ -58,7 +57,7 @@
             sum += t->load.memory_tokens;
         return sum;
     }
-    auto total_reading() const -> std::int64_t
+    auto total_prefilling() const -> std::int64_t
     {
         auto sum = std::int64_t{ 0 };
         for ( auto const& [id, t] : loads.all() )
@@ -69,11 +68,12 @@
 
 }
 
-TEST_CASE( "wide prompts that come at the same moment get different engines",
+TEST_CASE( "split prompts that arrive at the same time get different engines",
            "[coordinator][load]" )
 {
     auto f = coordinator_fixture( 60 );
-    // Five instances have an audit each; nobody has heard of another's choice.
+    // Five instances each request engines for one prompt of audit size, without
+    // knowledge of the others' choices.
     auto used = std::map<std::string, int>{};
     auto granted = 0;
     for ( auto n = 0; n < 5; ++n )
@@ -82,8 +82,8 @@
         for ( auto const& grant : answer->grants )
         {
             ++granted;
-            // The first one writes; one that writes such answers already is
-            // preferred for the next.
+            // Part 0 is the decode target. An engine that already decodes such
+            // answers is preferred for the next one, so it may repeat.
             for ( auto i = std::size_t{ 1 }; i < grant.choice.parts.size();
                   ++i )
                 ++used[grant.choice.parts[i].target.str()];
@@ -94,7 +94,7 @@
         CHECK( count == 1 );
 }
 
-TEST_CASE( "those that wait are served in the order in which they are due",
+TEST_CASE( "waiting requests are served in the order of their due times",
            "[coordinator]" )
 {
     auto f = coordinator_fixture( 1 );
@@ -112,8 +112,7 @@
     CHECK( third->grants.size() == 1 );
 }
 
-TEST_CASE( "an ask that is repeated gets the answer that it had",
-           "[coordinator]" )
+TEST_CASE( "a repeated placement request gets the same grant", "[coordinator]" )
 {
     auto f = coordinator_fixture( 2 );
     auto const first = f.request( "a", 7, 5'000 );
@@ -124,66 +123,66 @@
     CHECK( again->grants[0].choice.parts[0].target ==
            first->grants[0].choice.parts[0].target );
     CHECK( f.total_memory() == memory );
-    // The same number of another asker is another ask.
+    // The same serial of another requester is another request.
     f.request( "b", 7, 5'000 );
     CHECK( f.total_memory() > memory );
 }
 
-TEST_CASE( "no grant outlives its asker", "[coordinator]" )
+TEST_CASE( "no grant outlives its requester", "[coordinator]" )
 {
     auto f = coordinator_fixture( 4 );
     f.request( "a", 1, 5'000 );
     f.request( "a", 2, 5'000 );
     f.request( "b", 1, 5'000 );
     auto const all = f.total_memory();
-    SECTION( "one that ends by itself" )
+    SECTION( "released by the requester" )
     {
         f.coordinator.release( core::instance_id( "a" ), 1 );
         CHECK( f.total_memory() == all * 2 / 3 );
     }
-    SECTION( "what the asker does not name among its own was not received" )
+    SECTION( "not among the open work that the requester reports" )
     {
         f.coordinator.keep_only( core::instance_id( "a" ), { 2 } );
         CHECK( f.total_memory() == all * 2 / 3 );
-        CHECK( f.total_reading() == 2 );
+        CHECK( f.total_prefilling() == 2 );
     }
-    SECTION( "all of one that is lost" )
+    SECTION( "the requester is lost" )
     {
         f.coordinator.forget( core::instance_id( "a" ) );
         CHECK( f.total_memory() == all / 3 );
     }
 }
 
-TEST_CASE( "a prompt that waits for an asker that is lost keeps no engine",
+TEST_CASE( "a waiting prompt of a lost requester gets no engine",
            "[coordinator]" )
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
-    auto const waits = f.request( "b", 1, 60'000 );
+    auto const pending = f.request( "b", 1, 60'000 );
     REQUIRE( f.coordinator.waiting() == 1 );
     f.coordinator.forget( core::instance_id( "b" ) );
     CHECK( f.coordinator.waiting() == 0 );
     f.coordinator.forget( core::instance_id( "a" ) );
     f.scheduler.run( 2s );
-    CHECK( waits->grants.empty() );
-    CHECK( f.total_reading() == 0 );
+    CHECK( pending->grants.empty() );
+    CHECK( f.total_prefilling() == 0 );
     CHECK( f.loads.split_prompts().size() == 0 );
 }
 
-TEST_CASE( "an ask whose caller has left is dropped without a word",
+TEST_CASE( "a request whose caller has left is dropped without an answer",
            "[coordinator]" )
 {
     auto f = coordinator_fixture( 1 );
     f.fill_one_engine();
     f.loads.find( core::target_id( "e0" ) )->properties.leaving = true;
-    auto const waits = f.request( "b", 1, 60'000 );
+    auto const pending = f.request( "b", 1, 60'000 );
     f.scheduler.run( 13s );
     CHECK( f.coordinator.waiting() == 0 );
-    CHECK( waits->grants.empty() );
-    CHECK( waits->refusals.empty() );
+    CHECK( pending->grants.empty() );
+    CHECK( pending->refusals.empty() );
 }
 
-TEST_CASE( "a service that nobody knows is refused", "[coordinator]" )
+TEST_CASE( "a request for an unknown service is refused", "[coordinator]" )
 {
     auto f = coordinator_fixture( 1 );
     f.coordinator.set_configuration( nullptr );
@@ -192,7 +191,7 @@
     CHECK( answer->refusals[0].reason == "unknown_service" );
 }
 
-TEST_CASE( "a prompt that may not go to the only room holds up no other",
+TEST_CASE( "a prompt that may not use the only free target delays no other",
            "[coordinator]" )
 {
     auto f = coordinator_fixture( 1 );
@@ -213,41 +212,43 @@
     repeat.demand.time_left = 15s;
     repeat.demand.patience_left = 12s;
     repeat.may_be_refused = false;
-    SECTION( "it has been tried" )
+    SECTION( "the target has been tried" )
     {
         repeat.demand.tried.push_back( core::target_id( "e0" ) );
     }
-    SECTION( "it wants a pause from the asker" )
+    SECTION( "the target is paused for the requester" )
     {
         repeat.demand.paused.push_back( core::target_id( "e0" ) );
     }
-    auto const kept_away = std::make_shared<recorded_placement>();
-    f.coordinator.request( repeat, kept_away );
+    auto const excluded = std::make_shared<recorded_placement>();
+    f.coordinator.request( repeat, excluded );
     auto const other = f.request( "c", 1, 5'000 );
     REQUIRE( other->grants.empty() );
     f.coordinator.release( core::instance_id( "a" ), 1 );
     f.queue.schedule_round();
     f.scheduler.run( 30ms );
     CHECK( other->grants.size() == 1 );
-    CHECK( kept_away->grants.empty() );
+    CHECK( excluded->grants.empty() );
 }
 
-TEST_CASE( "what ends its engines gets none", "[coordinator][crash]" )
+TEST_CASE( "content that crashes its engines is quarantined",
+           "[coordinator][crash]" )
 {
     auto f = coordinator_fixture( 4 );
     auto const content = exchange::content_id( 7 );
-    auto const crash = [&]( std::string const& target )
+    auto const add_crash = [&]( std::string const& target )
     {
         f.crashes.note_crash(
             { content, core::target_id( target ), f.scheduler.now() } );
     };
-    crash( "x1" );
-    crash( "x2" );
+    add_crash( "x1" );
+    add_crash( "x2" );
     auto const first = f.request( "a", 1, 5'000, content );
     REQUIRE( first->grants.size() == 1 );
     CHECK( first->grants[0].is_suspect );
 
-    // One run at a time until it is known what it does; others go on.
+    // The content runs once at a time until the outcome is known; other
+    // contents are not affected.
     auto const second = f.request( "b", 1, 5'000, content );
     CHECK( second->grants.empty() );
     CHECK( f.request( "b", 2, 5'000 )->grants.size() == 1 );
@@ -255,12 +256,12 @@
     REQUIRE( other->grants.size() == 1 );
     CHECK_FALSE( other->grants[0].is_suspect );
 
-    SECTION( "its run ends its engine" )
+    SECTION( "the run crashes its engine" )
     {
-        crash( "x3" );
+        add_crash( "x3" );
         f.coordinator.release( core::instance_id( "a" ), 1 );
         f.scheduler.run( 30ms );
-        // It is still to be seen whether the third target has ended.
+        // It is not confirmed yet that the third target has ended.
         CHECK( second->grants.empty() );
         CHECK( second->refusals.empty() );
         f.crashes.prove( content );
@@ -269,7 +270,7 @@
         CHECK( second->refusals[0].retry_after == 0ms );
         CHECK( f.request( "c", 2, 5'000, content )->refusals.size() == 1 );
     }
-    SECTION( "its run is served" )
+    SECTION( "the run is served" )
     {
         f.crashes.note_served( content, f.scheduler.now() );
         f.coordinator.release( core::instance_id( "a" ), 1 );
