--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/announced_leaving_test.cpp
@@ -4,18 +4,10 @@
 
 #include <algorithm>
 
-// What callers saw: calls were cut short, and ended with 504, at a target that
-// had said two seconds before, in its answer to a call of the same instance,
-// that it leaves. The platform's store was away at that time.
-//
-// Cause: what answers say of their target was not read. Instances knew of a
-// leaving from the registry alone, which hears of none while the store is away.
-//
-// Evidence: on that day no instance's log had a line on the target between its
-// start and the store's return, 13 calls of that instance went there within six
-// seconds of the answer, and no code read the header. Before the mend the tests
-// below sent to a target that had just said so; the first and the third play no
-// trouble of the store at all.
+// A target may announce in an answer that it is leaving. If instances ignore
+// that, they learn of it from the registry only, and not at all while the
+// platform's store is away: they send further calls to the target, which are
+// cut short when it ends.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -23,7 +15,8 @@
 namespace
 {
 
-auto answer_that_leaves( sent_request& request, int status = 200 ) -> void
+auto answer_announcing_leaving( sent_request& request, int status = 200 )
+    -> void
 {
     auto head = exchange::answer_head{};
     head.status = status;
@@ -34,13 +27,14 @@
     request.complete();
 }
 
-auto was_logged( recorded_events const& log, std::string const& target ) -> bool
+auto logged_leaving( recorded_events const& log, std::string const& target )
+    -> bool
 {
     return std::any_of( log.all.begin(), log.all.end(),
-                        [&]( auto const& what )
+                        [&]( auto const& event )
                         {
                             auto const* const change =
-                                std::get_if<exchange::state_change>( &what );
+                                std::get_if<exchange::state_change>( &event );
                             return change != nullptr &&
                                    change->name == target &&
                                    change->now == "leaving";
@@ -49,42 +43,42 @@
 
 }
 
-TEST_CASE( "the log tells that an answer says its target leaves",
-           "[exchange][leaving]" )
+TEST_CASE( "an announced leaving is logged", "[exchange][leaving]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/safe/x" ) );
     auto const target = f.targets.all[0]->request.target;
-    answer_that_leaves( *f.targets.all[0] );
+    answer_announcing_leaving( *f.targets.all[0] );
     CHECK( f.answer->whole.status == 200 );
-    CHECK( was_logged( f.log, target.str() ) );
+    CHECK( logged_leaving( f.log, target.str() ) );
 }
 
-TEST_CASE( "a target gets nothing more once it has said that it leaves",
-           "[exchange][leaving]" )
+TEST_CASE(
+    "a plain target gets no more calls once it has announced its leaving",
+    "[exchange][leaving]" )
 {
     auto f = exchange_fixture{};
     auto const status = GENERATE( 200, 500, 503 );
     f.start( f.request( "/safe/x" ) );
-    auto const leaves = f.targets.all[0]->request.target;
-    answer_that_leaves( *f.targets.all[0], status );
+    auto const leaving = f.targets.all[0]->request.target;
+    answer_announcing_leaving( *f.targets.all[0], status );
     if ( status != 200 )
         f.targets.all.at( 1 )->answer( 200, "body" );
-    // The registry's news may be older than the answer.
-    auto properties = make_target( leaves.str(), "plain" );
+    // An update of the registry may be older than the answer.
+    auto properties = make_target( leaving.str(), "plain" );
     f.loads.put( properties );
     for ( auto i = 0; i < 8; ++i )
     {
         auto const before = f.targets.all.size();
         f.start( f.request( "/safe/x" ) );
         REQUIRE( f.targets.all.size() > before );
-        CHECK( f.targets.all.back()->request.target != leaves );
+        CHECK( f.targets.all.back()->request.target != leaving );
         f.targets.all.back()->answer( 200, "body" );
     }
-    SECTION( "and a call is refused where no other is left" )
+    SECTION( "a call is refused if no other target is left" )
     {
         for ( auto const* id : { "p1", "p2" } )
-            if ( core::target_id( id ) != leaves )
+            if ( core::target_id( id ) != leaving )
                 f.loads.mark_gone( core::target_id( id ) );
         auto const before = f.targets.all.size();
         f.start( f.request( "/safe/x" ) );
@@ -95,13 +89,13 @@
     }
 }
 
-TEST_CASE( "an engine gets nothing more once it has said that it leaves",
+TEST_CASE( "an engine gets no more prompts once it has announced its leaving",
            "[exchange][leaving]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/chat/x" ) );
     REQUIRE( f.targets.all.size() == 1 );
-    auto const leaves = f.targets.all[0]->request.target;
+    auto const leaving = f.targets.all[0]->request.target;
     auto head = exchange::answer_head{};
     head.status = 200;
     head.has_seal = true;
@@ -112,25 +106,25 @@
     {
         f.start( f.request( "/chat/x" ) );
         REQUIRE( f.targets.all.size() == static_cast<std::size_t>( i ) + 2 );
-        CHECK( f.targets.all.back()->request.target != leaves );
+        CHECK( f.targets.all.back()->request.target != leaving );
     }
-    // What is under way there goes on to its end.
+    // The request that is in progress there continues to its end.
     CHECK_FALSE( f.targets.all[0]->cancelled );
     for ( auto const& sent : f.targets.all )
-        if ( sent->request.target == leaves )
+        if ( sent->request.target == leaving )
             sent->complete();
         else
             sent->answer( 200, "" );
 }
 
-TEST_CASE( "instances tell each other what a target's answer said",
+TEST_CASE( "instances tell each other of an announced leaving",
            "[exchange][leaving]" )
 {
     auto fleet = exchange_fleet( 4, 6, 3 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
     auto number = 0;
-    auto const play = [&]( core::duration time )
+    auto const run_load = [&]( core::duration time )
     {
         for ( auto at = core::duration( 0 ); at < time; at += 20ms )
         {
@@ -139,15 +133,15 @@
             fleet.scheduler.run( 20ms );
         }
     };
-    play( 1s );
-    // The registry does not hear of it.
-    auto const leaves = service.properties().front().id;
-    service.leave( leaves );
-    play( 1s );
+    run_load( 1s );
+    // The registry is not told.
+    auto const leaving = service.properties().front().id;
+    service.leave( leaving );
+    run_load( 1s );
     auto const later = fleet.scheduler.now();
-    play( 3s );
+    run_load( 3s );
     fleet.scheduler.run( 3s );
     for ( auto const& run : service.runs )
         if ( run.sent_at >= later )
-            CHECK( run.target != leaves );
+            CHECK( run.target != leaving );
 }
--- a/tests/exchange/told_limit_trouble_test.cpp
+++ b/tests/exchange/reported_limit_faults_test.cpp
@@ -2,8 +2,8 @@
 
 #include <catch2/catch.hpp>
 
-// Limits of targets while instances are lost, cut off and started anew, at
-// several sizes, and how limits end.
+// Targets' limits hold while instances are lost, cut off and restarted, for few
+// and for hundreds of instances; and limits change and end as targets report.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -18,79 +18,80 @@
         service.name_limit( properties.id, per_second );
 }
 
-auto check_all( fleet_targets const& service,
-                core::instant from,
-                double most,
-                run_filter const& counts = {} ) -> void
+auto check_windows( fleet_targets const& service,
+                    core::instant from,
+                    double max_count,
+                    run_filter const& counts = {} ) -> void
 {
     for ( auto const& properties : service.properties() )
-        CHECK( most_in_window( service.runs, properties.id, from, counts ) <=
-               most );
+        CHECK( max_in_window( service.runs, properties.id, from, counts ) <=
+               max_count );
 }
 
 }
 
-TEST_CASE( "a limit holds while those who place for all are lost one by one",
+TEST_CASE( "a limit holds while one active coordinator after the other is lost",
            "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 7, 3, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     fleet.lost_each = GENERATE( 0, 5 );
-    auto calls = steady_calls{ fleet, path };
-    limit_all( calls.service(), 1.3 );
-    calls.play( 4s, 20ms );
-    auto const settled = fleet.scheduler.now();
+    auto load = steady_load{ fleet, path };
+    limit_all( load.service(), 1.3 );
+    load.run( 4s, 20ms );
+    auto const measured_from = fleet.scheduler.now();
     for ( auto i = 0; i < 8; ++i )
     {
-        auto const first = first_coordinator( fleet );
+        auto const first = active_coordinator( fleet );
         REQUIRE( first >= 0 );
         fleet.kill( first );
-        calls.play( 700ms, 20ms );
+        load.run( 700ms, 20ms );
         fleet.restart( first );
-        calls.play( 600ms, 20ms );
+        load.run( 600ms, 20ms );
     }
-    check_all( calls.service(), settled, within_rule( 1.3 ) );
+    check_windows( load.service(), measured_from, max_during_faults( 1.3 ) );
 }
 
-TEST_CASE( "a limit holds when all instances start anew at once",
+TEST_CASE( "a limit holds when all instances restart at once",
            "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 7, 3, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    auto calls = steady_calls{ fleet, path };
-    limit_all( calls.service(), 1.3 );
-    calls.play( 4s, 20ms );
+    auto load = steady_load{ fleet, path };
+    limit_all( load.service(), 1.3 );
+    load.run( 4s, 20ms );
     for ( auto i = 0; i < fleet.size(); ++i )
         fleet.kill( i );
     fleet.scheduler.run( 300ms );
     for ( auto i = 0; i < fleet.size(); ++i )
         fleet.restart( i );
     auto const started = fleet.scheduler.now();
-    calls.play( 10s, 20ms );
-    check_all( calls.service(), started + 500ms, within_rule( 1.3 ) );
+    load.run( 10s, 20ms );
+    check_windows( load.service(), started + 500ms, max_during_faults( 1.3 ) );
 }
 
-TEST_CASE( "instances that are cut off from the others do not add a limit each",
-           "[exchange][limit]" )
+TEST_CASE(
+    "an instance that is cut off from the others adds no limit of its own",
+    "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 7, 3, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    auto calls = steady_calls{ fleet, path };
-    limit_all( calls.service(), 1.3 );
-    calls.play( 4s, 20ms );
-    auto const cut = first_coordinator( fleet );
-    auto const settled = fleet.scheduler.now();
+    auto load = steady_load{ fleet, path };
+    limit_all( load.service(), 1.3 );
+    load.run( 4s, 20ms );
+    auto const cut = active_coordinator( fleet );
+    auto const measured_from = fleet.scheduler.now();
     fleet.cut( cut, true );
-    calls.play( 5s, 20ms );
+    load.run( 5s, 20ms );
     fleet.cut( cut, false );
-    calls.play( 4s, 20ms );
+    load.run( 4s, 20ms );
     auto const name = fleet.at( cut ).name;
-    check_all( calls.service(), settled, within_rule( 1.3 ) );
-    check_all( calls.service(), settled, within_limit( 1.3 ) + 1,
-               [&name]( auto const& run )
-               {
-                   return run.instance != name;
-               } );
+    check_windows( load.service(), measured_from, max_during_faults( 1.3 ) );
+    check_windows( load.service(), measured_from, max_by_limit( 1.3 ) + 1,
+                   [&name]( auto const& run )
+                   {
+                       return run.instance != name;
+                   } );
 }
 
 namespace
@@ -99,20 +100,20 @@
 auto check_limits_of_many( int instances, std::string const& path ) -> void
 {
     auto fleet = exchange_fleet( instances, 4, 2 );
-    auto calls = steady_calls{ fleet, path };
-    limit_all( calls.service(), 2.7 );
-    calls.play( 5s, 20ms );
-    auto const settled = fleet.scheduler.now();
-    calls.play( 6s, 20ms );
-    check_all( calls.service(), settled, within_limit( 2.7 ) + 1 );
-    for ( auto const& properties : calls.service().properties() )
-        CHECK( count_between( calls.service().runs, properties.id, settled,
+    auto load = steady_load{ fleet, path };
+    limit_all( load.service(), 2.7 );
+    load.run( 5s, 20ms );
+    auto const measured_from = fleet.scheduler.now();
+    load.run( 6s, 20ms );
+    check_windows( load.service(), measured_from, max_by_limit( 2.7 ) + 1 );
+    for ( auto const& properties : load.service().properties() )
+        CHECK( count_between( load.service().runs, properties.id, measured_from,
                               fleet.scheduler.now() ) >= 0.9 * 2.7 * 6 );
 }
 
 }
 
-TEST_CASE( "a limit holds for many instances with little work each",
+TEST_CASE( "a limit holds for many instances with low load each",
            "[exchange][limit]" )
 {
     auto const instances = GENERATE( 30, 66 );
@@ -126,48 +127,48 @@
                           GENERATE( as<std::string>{}, "/chat/o", "/safe/o" ) );
 }
 
-TEST_CASE( "what was sent before a limit was known is paid back in its window",
+TEST_CASE( "requests sent before a limit is known count in its window",
            "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 7, 6, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    auto calls = steady_calls{ fleet, path };
-    calls.play( 2s, 40ms );
-    auto const limited = busiest( calls.service() );
-    calls.service().name_limit( limited, 1.3 );
-    auto const named = fleet.scheduler.now();
-    calls.play( 3s, 40ms );
-    auto const before = count_between( calls.service().runs, limited,
-                                       named - 1s, named + 200ms );
-    auto const whole =
-        count_between( calls.service().runs, limited, named - 1s, named + 3s );
+    auto load = steady_load{ fleet, path };
+    load.run( 2s, 40ms );
+    auto const limited = busiest_target( load.service() );
+    load.service().name_limit( limited, 1.3 );
+    auto const limit_set_at = fleet.scheduler.now();
+    load.run( 3s, 40ms );
+    auto const before = count_between(
+        load.service().runs, limited, limit_set_at - 1s, limit_set_at + 200ms );
+    auto const whole = count_between( load.service().runs, limited,
+                                      limit_set_at - 1s, limit_set_at + 3s );
     REQUIRE( before > 6 );
     CHECK( whole - before <= 1 );
 }
 
-TEST_CASE( "a limit ends when the target names none any more",
+TEST_CASE( "a limit ends when the target reports none any more",
            "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 7, 6, 3 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto const limit = GENERATE( 1.3, 0.0 );
-    auto calls = steady_calls{ fleet, path };
-    calls.play( 1s, 20ms );
-    auto const limited = busiest( calls.service() );
-    calls.service().name_limit( limited, limit );
-    // Others are chosen first, and have room for all.
-    calls.play( 6s, 20ms );
-    calls.service().name_limit( limited, std::nullopt );
-    calls.play( limit > 0 ? 8s : 20s, 20ms );
+    auto load = steady_load{ fleet, path };
+    load.run( 1s, 20ms );
+    auto const limited = busiest_target( load.service() );
+    load.service().name_limit( limited, limit );
+    // Other targets are preferred, and have capacity for all calls.
+    load.run( 6s, 20ms );
+    load.service().name_limit( limited, std::nullopt );
+    load.run( limit > 0 ? 8s : 20s, 20ms );
     auto const later = fleet.scheduler.now();
-    calls.play( 4s, 20ms );
-    CHECK( count_between( calls.service().runs, limited, later,
+    load.run( 4s, 20ms );
+    CHECK( count_between( load.service().runs, limited, later,
                           fleet.scheduler.now() ) > 10 );
     for ( auto i = 0; i < fleet.size(); ++i )
         CHECK_FALSE( fleet.at( i ).loads.find( limited )->limit.per_second() );
 }
 
-TEST_CASE( "a target that starts anew has no limit of before",
+TEST_CASE( "a restarted target has no limit from its former lifetime",
            "[exchange][limit]" )
 {
     auto loads = exchange::load_table{};
@@ -182,38 +183,36 @@
         core::target_lifetime( properties.lifetime.count() + 1 );
     loads.put( properties );
     CHECK_FALSE( loads.find( properties.id )->limit.per_second() );
-    // News of the former one come late.
+    // A late update about the former lifetime.
     CHECK( loads.note_limit( former, { 1.3, now, now }, now ) ==
            exchange::limit_change::none );
     CHECK( loads.limited().empty() );
 }
 
-TEST_CASE( "a higher limit releases nothing that was saved up, a lower one "
-           "binds at once",
+TEST_CASE( "a raised limit causes no burst, a lowered one applies at once",
            "[exchange][limit]" )
 {
     auto fleet = exchange_fleet( 3, 2, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    auto calls = steady_calls{ fleet, path };
-    auto const first = calls.service().properties().front().id;
-    limit_all( calls.service(), 0.5 );
-    calls.play( 8s, 20ms );
-    limit_all( calls.service(), 4.0 );
+    auto load = steady_load{ fleet, path };
+    auto const first = load.service().properties().front().id;
+    limit_all( load.service(), 0.5 );
+    load.run( 8s, 20ms );
+    limit_all( load.service(), 4.0 );
     auto const raised = fleet.scheduler.now();
-    calls.play( 12s, 20ms );
-    CHECK( most_in_window( calls.service().runs, first, raised ) <=
-           within_limit( 4.0 ) );
-    CHECK( count_between( calls.service().runs, first, raised + 6s,
+    load.run( 12s, 20ms );
+    CHECK( max_in_window( load.service().runs, first, raised ) <=
+           max_by_limit( 4.0 ) );
+    CHECK( count_between( load.service().runs, first, raised + 6s,
                           raised + 12s ) >= 0.9 * 4 * 6 );
-    limit_all( calls.service(), 1.0 );
+    limit_all( load.service(), 1.0 );
     auto const lowered = fleet.scheduler.now();
-    calls.play( 8s, 20ms );
-    CHECK( most_in_window( calls.service().runs, first, lowered + 1s ) <=
-           within_limit( 1.0 ) + 1 );
+    load.run( 8s, 20ms );
+    CHECK( max_in_window( load.service().runs, first, lowered + 1s ) <=
+           max_by_limit( 1.0 ) + 1 );
 }
 
-TEST_CASE( "what limits leave no room for is refused at once, with a time to "
-           "return",
+TEST_CASE( "calls beyond all limits are refused at once with a Retry-After",
            "[exchange][limit]" )
 {
     auto f = exchange_fixture{};
@@ -227,14 +226,14 @@
     auto const first = std::stod( f.answer->header( "Retry-After" ) );
     CHECK( first > 4 );
     CHECK( first < 5.5 );
-    // Each caller has a moment of its own.
+    // Each refused caller gets a later retry time.
     f.start( f.request( path ) );
     auto const second = std::stod( f.answer->header( "Retry-After" ) );
     CHECK( second - first > 1 );
     CHECK( second - first < 3 );
 }
 
-TEST_CASE( "a limit beyond what a target serves at once changes no choice",
+TEST_CASE( "a limit above what a target can serve at once changes no choice",
            "[exchange][limit]" )
 {
     auto const targets_with = []( std::optional<double> limit )
--- a/tests/exchange/told_limit_test.cpp
+++ b/tests/exchange/reported_limit_test.cpp
@@ -2,33 +2,32 @@
 
 #include <catch2/catch.hpp>
 
-// What is asked: a target may name in its answers how many requests a second it
-// takes from all instances together. It gets no more, and that many while work
-// for it waits.
+// A target may report in its answers how many requests a second it takes from
+// all instances together. It must not get more than that, and it must get that
+// many while requests wait for it.
 
 using namespace tests;
 using namespace std::chrono_literals;
 
-TEST_CASE( "a target gets no more than it names from all instances together",
-           "[exchange][limit]" )
+TEST_CASE( "all instances together keep a reported limit", "[exchange][limit]" )
 {
     auto const instances = GENERATE( 1, 7 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto const limit = GENERATE( 0.4, 1.3, 2.7 );
     auto fleet = exchange_fleet( instances, 6, 3 );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
-    auto calls = steady_calls{ fleet, path };
-    calls.play( 2s, 20ms );
-    auto const limited = busiest( service );
+    auto load = steady_load{ fleet, path };
+    load.run( 2s, 20ms );
+    auto const limited = busiest_target( service );
     service.name_limit( limited, limit );
-    auto const named = fleet.scheduler.now();
-    calls.play( 12s, 20ms );
+    auto const limit_set_at = fleet.scheduler.now();
+    load.run( 12s, 20ms );
     fleet.scheduler.run( 3s );
-    CHECK( most_in_window( service.runs, limited, named + 500ms ) <=
-           within_limit( limit ) );
+    CHECK( max_in_window( service.runs, limited, limit_set_at + 500ms ) <=
+           max_by_limit( limit ) );
 }
 
-TEST_CASE( "targets that all name limits are used up to them",
+TEST_CASE( "targets that all report limits are used up to their limits",
            "[exchange][limit]" )
 {
     auto const instances = GENERATE( 1, 7 );
@@ -38,17 +37,17 @@
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
     for ( auto const& properties : service.properties() )
         service.name_limit( properties.id, limit );
-    auto calls = steady_calls{ fleet, path };
-    calls.play( 6s, 20ms );
-    auto const settled = fleet.scheduler.now();
-    calls.play( 12s, 20ms );
+    auto load = steady_load{ fleet, path };
+    load.run( 6s, 20ms );
+    auto const measured_from = fleet.scheduler.now();
+    load.run( 12s, 20ms );
     auto const end = fleet.scheduler.now();
     fleet.scheduler.run( 3s );
     for ( auto const& properties : service.properties() )
     {
-        CHECK( most_in_window( service.runs, properties.id, settled ) <=
-               within_limit( limit ) );
-        CHECK( count_between( service.runs, properties.id, settled, end ) >=
-               0.9 * limit * 12 );
+        CHECK( max_in_window( service.runs, properties.id, measured_from ) <=
+               max_by_limit( limit ) );
+        CHECK( count_between( service.runs, properties.id, measured_from,
+                              end ) >= 0.9 * limit * 12 );
     }
 }
--- a/tests/support/limited_load.cpp
+++ b/tests/support/limited_load.cpp
@@ -6,22 +6,22 @@
 namespace tests
 {
 
-auto most_in_window( std::vector<fleet_run> const& runs,
-                     core::target_id const& target,
-                     core::instant from,
-                     run_filter const& counts ) -> int
+auto max_in_window( std::vector<fleet_run> const& runs,
+                    core::target_id const& target,
+                    core::instant from,
+                    run_filter const& counts ) -> int
 {
     auto times = std::vector<core::instant>{};
     for ( auto const& run : runs )
         if ( run.target == target && run.sent_at >= from &&
              ( !counts || counts( run ) ) )
             times.push_back( run.sent_at );
-    auto most = std::ptrdiff_t{ 0 };
+    auto max_count = std::ptrdiff_t{ 0 };
     for ( auto at = times.begin(); at != times.end(); ++at )
-        most = std::max(
-            most,
+        max_count = std::max(
+            max_count,
             std::upper_bound( at, times.end(), *at + limit_window ) - at );
-    return static_cast<int>( most );
+    return static_cast<int>( max_count );
 }
 
 auto count_between( std::vector<fleet_run> const& runs,
@@ -38,33 +38,33 @@
                                             } ) );
 }
 
-auto within_limit( double per_second ) -> double
+auto max_by_limit( double per_second ) -> double
 {
     return per_second * core::seconds_of( limit_window ) + 1;
 }
 
-auto within_rule( double per_second ) -> double
+auto max_during_faults( double per_second ) -> double
 {
     return 1.5 * per_second * core::seconds_of( limit_window ) + 5;
 }
 
-auto steady_calls::play( core::duration time, core::duration pause ) -> void
+auto steady_load::run( core::duration time, core::duration interval ) -> void
 {
-    for ( auto at = core::duration( 0 ); at < time; at += pause )
+    for ( auto at = core::duration( 0 ); at < time; at += interval )
     {
-        ++number;
-        all.push_back( fleet.call( number % fleet.size(), path,
-                                   std::to_string( number ) ) );
-        fleet.scheduler.run( pause );
+        ++sent;
+        calls.push_back(
+            fleet.call( sent % fleet.size(), path, std::to_string( sent ) ) );
+        fleet.scheduler.run( interval );
     }
 }
 
-auto steady_calls::service() const -> fleet_targets&
+auto steady_load::service() const -> fleet_targets&
 {
     return path.starts_with( "/chat/" ) ? fleet.engines : fleet.plain;
 }
 
-auto busiest( fleet_targets const& service ) -> core::target_id
+auto busiest_target( fleet_targets const& service ) -> core::target_id
 {
     auto counts = std::map<core::target_id, int>{};
     for ( auto const& run : service.runs )
@@ -77,7 +77,7 @@
         ->first;
 }
 
-auto first_coordinator( exchange_fleet& fleet ) -> int
+auto active_coordinator( exchange_fleet& fleet ) -> int
 {
     for ( auto i = 0; i < fleet.size(); ++i )
         if ( fleet.lives( i ) && fleet.at( i ).group.own_duty() == 0 )
--- a/tests/support/limited_load.hpp
+++ b/tests/support/limited_load.hpp
@@ -11,47 +11,48 @@
 namespace tests
 {
 
-/// Over which limits are judged.
+/// Length of the window in which requests are counted against a limit.
 constexpr auto limit_window = core::duration( std::chrono::seconds( 4 ) );
 
-/// Which runs count.
+/// True for the runs that are counted.
 using run_filter = std::function<bool( fleet_run const& )>;
 
-/// Most requests that `target` got in one window that begins at `from` or
-/// later.
-auto most_in_window( std::vector<fleet_run> const& runs,
-                     core::target_id const& target,
-                     core::instant from,
-                     run_filter const& counts = {} ) -> int;
+/// Largest number of requests that `target` received in any window that begins
+/// at `from` or later.
+auto max_in_window( std::vector<fleet_run> const& runs,
+                    core::target_id const& target,
+                    core::instant from,
+                    run_filter const& counts = {} ) -> int;
 
+/// Requests that `target` received from `from` until before `until`.
 auto count_between( std::vector<fleet_run> const& runs,
                     core::target_id const& target,
                     core::instant from,
                     core::instant until ) -> int;
 
-/// What a window may hold: the limit, and one at its edge.
-auto within_limit( double per_second ) -> double;
-/// What the users' rule allows in a window: one and a half times that, and
-/// five; for times of trouble.
-auto within_rule( double per_second ) -> double;
+/// Requests that a window may hold: the limit, and one at its edge.
+auto max_by_limit( double per_second ) -> double;
+/// Requests that the requirements allow in a window while instances fail: one
+/// and a half times the limit, plus five.
+auto max_during_faults( double per_second ) -> double;
 
-/// Calls of one path, each at the next instance.
-struct steady_calls
+/// Sends calls of one path at a constant rate, to each instance in turn.
+struct steady_load
 {
-    auto play( core::duration time, core::duration pause ) -> void;
+    auto run( core::duration time, core::duration interval ) -> void;
     [[nodiscard]] auto service() const -> fleet_targets&;
 
     exchange_fleet& fleet;
     std::string path;
-    int number{ 0 };
-    std::vector<std::shared_ptr<fleet_call>> all;
+    int sent{ 0 };
+    std::vector<std::shared_ptr<fleet_call>> calls;
 };
 
-/// The target that got most.
-auto busiest( fleet_targets const& service ) -> core::target_id;
+/// The target that received the most requests.
+auto busiest_target( fleet_targets const& service ) -> core::target_id;
 
-/// The number of the instance that is asked first, from 0; -1: none is.
-auto first_coordinator( exchange_fleet& fleet ) -> int;
+/// Index of the instance that is the active coordinator; -1 if there is none.
+auto active_coordinator( exchange_fleet& fleet ) -> int;
 
 }
 
