--- a/tests/exchange/announced_leaving_test.cpp
+++ b/tests/exchange/announced_leaving_test.cpp
@@ -31,10 +31,10 @@
     -> bool
 {
     return std::any_of( log.all.begin(), log.all.end(),
-                        [&]( auto const& event )
+                        [&]( auto const& logged )
                         {
                             auto const* const change =
-                                std::get_if<exchange::state_change>( &event );
+                                std::get_if<exchange::state_change>( &logged );
                             return change != nullptr &&
                                    change->name == target &&
                                    change->now == "leaving";
@@ -134,7 +134,7 @@
         }
     };
     run_load( 1s );
-    // The registry is not told.
+    // The registry does not learn of it.
     auto const leaving = service.properties().front().id;
     service.leave( leaving );
     run_load( 1s );
--- a/tests/exchange/reported_limit_faults_test.cpp
+++ b/tests/exchange/reported_limit_faults_test.cpp
@@ -38,16 +38,16 @@
     fleet.lost_each = GENERATE( 0, 5 );
     auto load = steady_load{ fleet, path };
     limit_all( load.service(), 1.3 );
-    load.run( 4s, 20ms );
+    load.send_for( 4s, 20ms );
     auto const measured_from = fleet.scheduler.now();
     for ( auto i = 0; i < 8; ++i )
     {
         auto const first = active_coordinator( fleet );
         REQUIRE( first >= 0 );
         fleet.kill( first );
-        load.run( 700ms, 20ms );
+        load.send_for( 700ms, 20ms );
         fleet.restart( first );
-        load.run( 600ms, 20ms );
+        load.send_for( 600ms, 20ms );
     }
     check_windows( load.service(), measured_from, max_during_faults( 1.3 ) );
 }
@@ -59,14 +59,14 @@
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto load = steady_load{ fleet, path };
     limit_all( load.service(), 1.3 );
-    load.run( 4s, 20ms );
+    load.send_for( 4s, 20ms );
     for ( auto i = 0; i < fleet.size(); ++i )
         fleet.kill( i );
     fleet.scheduler.run( 300ms );
     for ( auto i = 0; i < fleet.size(); ++i )
         fleet.restart( i );
     auto const started = fleet.scheduler.now();
-    load.run( 10s, 20ms );
+    load.send_for( 10s, 20ms );
     check_windows( load.service(), started + 500ms, max_during_faults( 1.3 ) );
 }
 
@@ -78,13 +78,13 @@
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto load = steady_load{ fleet, path };
     limit_all( load.service(), 1.3 );
-    load.run( 4s, 20ms );
+    load.send_for( 4s, 20ms );
     auto const cut = active_coordinator( fleet );
     auto const measured_from = fleet.scheduler.now();
     fleet.cut( cut, true );
-    load.run( 5s, 20ms );
+    load.send_for( 5s, 20ms );
     fleet.cut( cut, false );
-    load.run( 4s, 20ms );
+    load.send_for( 4s, 20ms );
     auto const name = fleet.at( cut ).name;
     check_windows( load.service(), measured_from, max_during_faults( 1.3 ) );
     check_windows( load.service(), measured_from, max_by_limit( 1.3 ) + 1,
@@ -102,9 +102,9 @@
     auto fleet = exchange_fleet( instances, 4, 2 );
     auto load = steady_load{ fleet, path };
     limit_all( load.service(), 2.7 );
-    load.run( 5s, 20ms );
+    load.send_for( 5s, 20ms );
     auto const measured_from = fleet.scheduler.now();
-    load.run( 6s, 20ms );
+    load.send_for( 6s, 20ms );
     check_windows( load.service(), measured_from, max_by_limit( 2.7 ) + 1 );
     for ( auto const& properties : load.service().properties() )
         CHECK( count_between( load.service().runs, properties.id, measured_from,
@@ -133,11 +133,11 @@
     auto fleet = exchange_fleet( 7, 6, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto load = steady_load{ fleet, path };
-    load.run( 2s, 40ms );
+    load.send_for( 2s, 40ms );
     auto const limited = busiest_target( load.service() );
     load.service().name_limit( limited, 1.3 );
     auto const limit_set_at = fleet.scheduler.now();
-    load.run( 3s, 40ms );
+    load.send_for( 3s, 40ms );
     auto const before = count_between(
         load.service().runs, limited, limit_set_at - 1s, limit_set_at + 200ms );
     auto const whole = count_between( load.service().runs, limited,
@@ -153,15 +153,15 @@
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
     auto const limit = GENERATE( 1.3, 0.0 );
     auto load = steady_load{ fleet, path };
-    load.run( 1s, 20ms );
+    load.send_for( 1s, 20ms );
     auto const limited = busiest_target( load.service() );
     load.service().name_limit( limited, limit );
     // Other targets are preferred, and have capacity for all calls.
-    load.run( 6s, 20ms );
+    load.send_for( 6s, 20ms );
     load.service().name_limit( limited, std::nullopt );
-    load.run( limit > 0 ? 8s : 20s, 20ms );
+    load.send_for( limit > 0 ? 8s : 20s, 20ms );
     auto const later = fleet.scheduler.now();
-    load.run( 4s, 20ms );
+    load.send_for( 4s, 20ms );
     CHECK( count_between( load.service().runs, limited, later,
                           fleet.scheduler.now() ) > 10 );
     for ( auto i = 0; i < fleet.size(); ++i )
@@ -197,17 +197,17 @@
     auto load = steady_load{ fleet, path };
     auto const first = load.service().properties().front().id;
     limit_all( load.service(), 0.5 );
-    load.run( 8s, 20ms );
+    load.send_for( 8s, 20ms );
     limit_all( load.service(), 4.0 );
     auto const raised = fleet.scheduler.now();
-    load.run( 12s, 20ms );
+    load.send_for( 12s, 20ms );
     CHECK( max_in_window( load.service().runs, first, raised ) <=
            max_by_limit( 4.0 ) );
     CHECK( count_between( load.service().runs, first, raised + 6s,
                           raised + 12s ) >= 0.9 * 4 * 6 );
     limit_all( load.service(), 1.0 );
     auto const lowered = fleet.scheduler.now();
-    load.run( 8s, 20ms );
+    load.send_for( 8s, 20ms );
     CHECK( max_in_window( load.service().runs, first, lowered + 1s ) <=
            max_by_limit( 1.0 ) + 1 );
 }
--- a/tests/exchange/reported_limit_test.cpp
+++ b/tests/exchange/reported_limit_test.cpp
@@ -17,11 +17,11 @@
     auto fleet = exchange_fleet( instances, 6, 3 );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
     auto load = steady_load{ fleet, path };
-    load.run( 2s, 20ms );
+    load.send_for( 2s, 20ms );
     auto const limited = busiest_target( service );
     service.name_limit( limited, limit );
     auto const limit_set_at = fleet.scheduler.now();
-    load.run( 12s, 20ms );
+    load.send_for( 12s, 20ms );
     fleet.scheduler.run( 3s );
     CHECK( max_in_window( service.runs, limited, limit_set_at + 500ms ) <=
            max_by_limit( limit ) );
@@ -38,9 +38,9 @@
     for ( auto const& properties : service.properties() )
         service.name_limit( properties.id, limit );
     auto load = steady_load{ fleet, path };
-    load.run( 6s, 20ms );
+    load.send_for( 6s, 20ms );
     auto const measured_from = fleet.scheduler.now();
-    load.run( 12s, 20ms );
+    load.send_for( 12s, 20ms );
     auto const end = fleet.scheduler.now();
     fleet.scheduler.run( 3s );
     for ( auto const& properties : service.properties() )
--- a/tests/support/limited_load.cpp
+++ b/tests/support/limited_load.cpp
@@ -48,7 +48,8 @@
     return 1.5 * per_second * core::seconds_of( limit_window ) + 5;
 }
 
-auto steady_load::run( core::duration time, core::duration interval ) -> void
+auto steady_load::send_for( core::duration time, core::duration interval )
+    -> void
 {
     for ( auto at = core::duration( 0 ); at < time; at += interval )
     {
--- a/tests/support/limited_load.hpp
+++ b/tests/support/limited_load.hpp
@@ -39,7 +39,7 @@
 /// Sends calls of one path at a constant rate, to each instance in turn.
 struct steady_load
 {
-    auto run( core::duration time, core::duration interval ) -> void;
+    auto send_for( core::duration time, core::duration interval ) -> void;
     [[nodiscard]] auto service() const -> fleet_targets&;
 
     exchange_fleet& fleet;
