--- a/tests/exchange/reported_limit_faults_test.cpp
+++ b/tests/exchange/reported_limit_faults_test.cpp
@@ -3,7 +3,8 @@
 #include <catch2/catch.hpp>
 
 // Targets' limits hold while instances are lost, cut off and restarted, for few
-// and for hundreds of instances; and limits change and end as targets report.
+// and for hundreds of instances. Limits are raised, lowered and ended by what
+// targets report.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -42,11 +43,11 @@
     auto const measured_from = fleet.scheduler.now();
     for ( auto i = 0; i < 8; ++i )
     {
-        auto const first = active_coordinator( fleet );
-        REQUIRE( first >= 0 );
-        fleet.kill( first );
+        auto const active = active_coordinator( fleet );
+        REQUIRE( active >= 0 );
+        fleet.kill( active );
         load.send_for( 700ms, 20ms );
-        fleet.restart( first );
+        fleet.restart( active );
         load.send_for( 600ms, 20ms );
     }
     check_windows( load.service(), measured_from, max_during_faults( 1.3 ) );
