--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -143,7 +143,7 @@
     queue.add( small );
     queue.add( large );
     queue.add( first );
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( first->attempts == 1 );
     CHECK( small->attempts == 1 );
@@ -250,7 +250,7 @@
     queue.add( small );
     queue.add( always );
     queue.add( large );
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( always->attempts == 1 );
     CHECK( large->attempts == 0 );
