--- a/src/pollenstream/exchange/exchange.cpp
+++ b/src/pollenstream/exchange/exchange.cpp
@@ -265,7 +265,7 @@
     auto demand = demand_;
     demand.only_to_probe_limits = true;
     demand.limits = context_.placements.is_active_coordinator()
-                        ? limit_use::for_all
+                        ? limit_use::coordinated
                         : limit_use::uncoordinated;
     auto result = context_.chooser.choose( demand, *service_, now );
     if ( result.choice && demand.limits == limit_use::uncoordinated )
--- a/src/pollenstream/exchange/exchange_answers.cpp
+++ b/src/pollenstream/exchange/exchange_answers.cpp
@@ -173,7 +173,7 @@
         current_->prefilling = false;
         context_.loads.end_prefill( context_.self, current_->serial, now );
         context_.announcer.prefill_ended( current_->serial );
-        context_.queue.poke();
+        context_.queue.schedule_round();
     }
     if ( events_ == 0 )
         first_event_ = now - request_.received;
--- a/src/pollenstream/exchange/exchange_attempts.cpp
+++ b/src/pollenstream/exchange/exchange_attempts.cpp
@@ -180,7 +180,8 @@
 auto exchange::has_retry_budget() -> bool
 {
     return targets_reached_ == 0 ||
-           context_.retries.has( demand_.service, context_.scheduler.now() );
+           context_.retries.can_take( demand_.service,
+                                      context_.scheduler.now() );
 }
 
 auto exchange::take_retry() -> bool
@@ -271,7 +272,7 @@
     if ( closed.reservation )
         closed.reservation->release();
     release( closed.serial, outcome );
-    context_.queue.poke();
+    context_.queue.schedule_round();
 }
 
 }
--- a/src/pollenstream/exchange/load_table.cpp
+++ b/src/pollenstream/exchange/load_table.cpp
@@ -454,8 +454,8 @@
     auto const entry = find_lifetime( ref );
     if ( !entry )
         return limit_change::none;
-    auto const change = entry->limit.take( report, now );
-    if ( change == limit_change::named )
+    auto const change = entry->limit.note_report( report, now );
+    if ( change == limit_change::started )
         limited_.insert( ref.id );
     return change;
 }
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -31,7 +31,7 @@
     /// Targets that accept nothing from the requester now.
     std::vector<core::target_id> paused;
     /// Which part of the limits that targets report may be used.
-    limit_use limits{ limit_use::for_all };
+    limit_use limits{ limit_use::coordinated };
     /// Targets with limits may be chosen only to probe whether their limits
     /// still hold; for anything else the coordinator has to be asked.
     bool only_to_probe_limits{ false };
--- a/src/pollenstream/exchange/placement_coordinator.cpp
+++ b/src/pollenstream/exchange/placement_coordinator.cpp
@@ -221,7 +221,8 @@
     limited_since_ = limited_since_.value_or( now );
     if ( !capacity || !request.may_be_refused )
         return false;
-    auto const latest = is_first_try && ahead > 0 ? due() : waits_until( now );
+    auto const latest =
+        is_first_try && ahead > 0 ? due() : wait_deadline( now );
     if ( capacity->available_after( ahead ) <= latest )
         return false;
     owner_.counters_.limited.add();
@@ -374,7 +375,8 @@
     auto& last = retry_times_[demand.service];
     auto const next = last + core::duration_of( 1 / capacity.per_second );
     auto const at = std::max(
-        { now, capacity.available_after( others_waiting( who ) ), next } );
+        { now, capacity.available_after( count_other_waiting( item ) ),
+          next } );
     if ( at - now < demand.time_left )
         last = at;
     return std::max( at - now, min_retry_delay );
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -62,7 +62,7 @@
                               last.target, context_.scheduler.now() );
                       else
                           context_.crashes.confirm( last.content );
-                      context_.queue.poke();
+                      context_.queue.schedule_round();
                   } );
 }
 
--- a/tests/exchange/parts_test.cpp
+++ b/tests/exchange/parts_test.cpp
@@ -149,7 +149,7 @@
     CHECK( small->attempts == 1 );
     CHECK( large->attempts == 0 );
     has_capacity = true;
-    queue.poke();
+    queue.schedule_round();
     scheduler.run( 2ms );
     CHECK( queue.size() == 0 );
 }
