--- a/apps/daemon/node.cpp
+++ b/apps/daemon/node.cpp
@@ -166,7 +166,7 @@
     run(
         [this]
         {
-            gateway_.tidy();
+            gateway_.remove_expired();
             return tidy_period;
         } );
 }
@@ -276,11 +276,11 @@
     wanted.call = what.call;
     auto answer = std::make_shared<std::promise<state::call_outcome>>();
     auto outcome = answer->get_future();
-    gateway_.call_here( wanted,
-                        [answer]( state::call_outcome const& o )
-                        {
-                            answer->set_value( o );
-                        } );
+    gateway_.call_locally( wanted,
+                           [answer]( state::call_outcome const& o )
+                           {
+                               answer->set_value( o );
+                           } );
     auto const limit = what.call.time_left + forward_slack;
     if ( outcome.wait_for( limit ) == std::future_status::ready )
         return outcome.get();
--- a/src/pollenstream/adapters/http/caller_listener.cpp
+++ b/src/pollenstream/adapters/http/caller_listener.cpp
@@ -192,7 +192,8 @@
         addresses[i] = value::string( core::to_string( entry.addresses[i] ) );
     auto json = value::object();
     json["addresses"] = std::move( addresses );
-    json["keep_ms"] = value::number( core::milliseconds_of( entry.keep ) );
+    json["keep_ms"] =
+        value::number( core::milliseconds_of( entry.cache_time ) );
     json["ticket_prefix"] = value::string( entry.ticket_prefix );
     send_json( request.message, json );
 }
--- a/src/pollenstream/sessions/context.cpp
+++ b/src/pollenstream/sessions/context.cpp
@@ -6,16 +6,16 @@
 {
 
 context::context( ports::memory_owner owner,
-                  ports::clock& time,
-                  ports::timer& alarms,
-                  ports::engine_client& engine_calls,
-                  routing::target_table& target_list,
-                  routing::target_policy& target_choice,
-                  admission::retry_budget& retry_credit,
-                  metrics::request_metrics& measures )
-    : self( std::move( owner ) ), clock( time ), timer( alarms ),
-      engines( engine_calls ), targets( target_list ), policy( target_choice ),
-      retries( retry_credit ), metrics( measures )
+                  ports::clock& clock_port,
+                  ports::timer& timer_port,
+                  ports::engine_client& engine_port,
+                  routing::target_table& target_table,
+                  routing::target_policy& target_policy,
+                  admission::retry_budget& retry_budget,
+                  metrics::request_metrics& request_metrics )
+    : self( std::move( owner ) ), clock( clock_port ), timer( timer_port ),
+      engines( engine_port ), targets( target_table ), policy( target_policy ),
+      retries( retry_budget ), metrics( request_metrics )
 {
 }
 
--- a/src/pollenstream/sessions/context.hpp
+++ b/src/pollenstream/sessions/context.hpp
@@ -15,17 +15,18 @@
 namespace pollenstream::sessions
 {
 
-/// What all sessions of a process share. Outlives every session.
+/// Dependencies and counters that all sessions of a process share. Must outlive
+/// every session.
 struct context
 {
     context( ports::memory_owner owner,
-             ports::clock& time,
-             ports::timer& alarms,
-             ports::engine_client& engine_calls,
-             routing::target_table& target_list,
-             routing::target_policy& target_choice,
-             admission::retry_budget& retry_credit,
-             metrics::request_metrics& measures );
+             ports::clock& clock_port,
+             ports::timer& timer_port,
+             ports::engine_client& engine_port,
+             routing::target_table& target_table,
+             routing::target_policy& target_policy,
+             admission::retry_budget& retry_budget,
+             metrics::request_metrics& request_metrics );
 
     ports::memory_owner self;
     ports::clock& clock;
@@ -38,7 +39,8 @@
     std::atomic<std::uint64_t> next_request{ 1 };
     std::atomic<std::int64_t> open_sessions{ 0 };
 
-    /// A request id that no other incarnation of any instance gives out.
+    /// Returns a request id that is unique over all instances and their
+    /// incarnations.
     auto new_request_id() -> core::request_id;
 };
 
--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -16,16 +16,19 @@
 using namespace std::chrono_literals;
 using ports::answer_status;
 
-/// Homes of a workspace, between which its limits are divided.
-constexpr auto homes_per_workspace = std::size_t{ 3 };
-/// Addresses in an entry answer.
-constexpr auto most_addresses = std::size_t{ 4 };
-/// How long a ticket may be used.
-constexpr auto ticket_time = core::duration( 1h );
-constexpr auto retry_elsewhere = core::duration( 1s );
-constexpr auto idle_workspace = core::duration( 60s );
+/// Number of instances among which the limits of a workspace are divided.
+constexpr auto limit_owners_per_workspace = std::size_t{ 3 };
+/// Maximum number of addresses in an entry answer.
+constexpr auto max_entry_addresses = std::size_t{ 4 };
+/// Time after which a ticket expires.
+constexpr auto ticket_lifetime = core::duration( 1h );
+/// Retry-after time of requests that an instance refuses while it stops; the
+/// caller is expected to retry at another instance.
+constexpr auto closing_retry_after = core::duration( 1s );
+/// Limit state of a workspace without requests for this long is removed.
+constexpr auto idle_workspace_timeout = core::duration( 60s );
 
-auto refuse( std::string reason, std::string detail ) -> ports::answer_end
+auto make_refusal( std::string reason, std::string detail ) -> ports::answer_end
 {
     auto end = ports::answer_end{};
     end.status = answer_status::not_run;
@@ -34,7 +37,7 @@
     return end;
 }
 
-auto call_refused( std::string reason, std::string detail )
+auto refused_outcome( std::string reason, std::string detail )
     -> state::call_outcome
 {
     auto outcome = state::call_outcome{};
@@ -44,166 +47,172 @@
     return outcome;
 }
 
-auto call_unknown( std::string reason, std::string detail )
+auto unknown_outcome( std::string reason, std::string detail )
     -> state::call_outcome
 {
-    auto outcome = call_refused( std::move( reason ), std::move( detail ) );
+    auto outcome = refused_outcome( std::move( reason ), std::move( detail ) );
     outcome.status = answer_status::unknown;
     return outcome;
 }
 
-auto scope_of( plain_call const& wanted ) -> std::string
+/// Separates equal ticket keys of different workspaces and services.
+auto ledger_scope( plain_call const& incoming ) -> std::string
 {
-    return wanted.workspace.str() + '\n' + wanted.service.str();
+    return incoming.workspace.str() + '\n' + incoming.service.str();
 }
 
 }
 
-gateway::gateway( context& shared,
-                  state::configuration_holder& holder,
+gateway::gateway( context& session_context,
+                  state::configuration_holder& configuration,
                   membership::member_table& members,
                   state::call_ledger& ledger,
                   ports::service_client& services,
                   ports::peer_client& peers,
-                  core::duration entry_keep )
-    : shared_( shared ), holder_( holder ), members_( members ),
-      ledger_( ledger ), services_( services ), peers_( peers ),
-      entry_keep_( entry_keep )
+                  core::duration entry_cache_time )
+    : context_( session_context ), configuration_( configuration ),
+      members_( members ), ledger_( ledger ), services_( services ),
+      peers_( peers ), entry_cache_time_( entry_cache_time )
 {
 }
 
 auto gateway::find_profile( core::profile_id const& id ) const
     -> std::optional<profiles::profile>
 {
-    return holder_.read(
+    return configuration_.read(
         [&]( profiles::configuration const& c )
             -> std::optional<profiles::profile>
         {
-            auto const* const known = c.find_profile( id );
-            if ( !known )
+            auto const* const found = c.find_profile( id );
+            if ( !found )
                 return std::nullopt;
-            return *known;
+            return *found;
         } );
 }
 
-auto gateway::check_limits( core::workspace_id const& workspace,
+auto gateway::apply_limits( core::workspace_id const& workspace,
                             profiles::profile const& profile,
                             core::token_count prompt ) -> core::duration
 {
-    auto const limits = holder_.read(
+    auto const limits = configuration_.read(
         [&]( profiles::configuration const& c )
         {
             return c.workspace_or_default( workspace );
         } );
-    // The profile's own limit is counted apart, under a name of its own.
-    auto of_profile = profiles::workspace{};
-    of_profile.id =
+    // The limit of the profile has its own counter per workspace, stored under
+    // an id that no workspace can have.
+    auto profile_limits = profiles::workspace{};
+    profile_limits.id =
         core::workspace_id( workspace.str() + '\n' + profile.id.str() );
-    of_profile.requests_per_second = profile.workspace_requests_per_second;
+    profile_limits.requests_per_second = profile.workspace_requests_per_second;
     auto const is_unlimited = limits.requests_per_second == 0 &&
                               limits.tokens_per_second == 0 &&
-                              of_profile.requests_per_second == 0;
+                              profile_limits.requests_per_second == 0;
     if ( is_unlimited )
         return core::duration( 0 );
-    auto const part =
-        membership::limit_share( workspace, shared_.self.instance,
-                                 members_.alive(), homes_per_workspace );
-    auto const now = shared_.clock.now();
-    auto const wait = limits_.take( of_profile, part, prompt, now );
+    auto const share =
+        membership::limit_share( workspace, context_.self.instance,
+                                 members_.alive(), limit_owners_per_workspace );
+    auto const now = context_.clock.now();
+    auto const wait = limits_.take( profile_limits, share, prompt, now );
     if ( wait > core::duration( 0 ) )
         return wait;
-    return limits_.take( limits, part, prompt, now );
+    return limits_.take( limits, share, prompt, now );
 }
 
 auto gateway::answer( core::profile_id const& profile,
-                      request wanted,
+                      request caller_request,
                       std::shared_ptr<ports::answer_sink> sink ) -> void
 {
     auto const refuse_with = [&]( ports::answer_end const& end )
     {
-        shared_.metrics.refusals.add( end.reason );
+        context_.metrics.refusals.add( end.reason );
         sink->finish( end );
     };
     if ( closed_.load() )
     {
-        auto end = refuse( "leaving", "this instance is stopping" );
-        end.retry_after = retry_elsewhere;
+        auto end = make_refusal( "leaving", "this instance is stopping" );
+        end.retry_after = closing_retry_after;
         refuse_with( end );
         return;
     }
-    auto const known = find_profile( profile );
-    if ( !known )
+    auto const found = find_profile( profile );
+    if ( !found )
     {
-        refuse_with(
-            refuse( "unknown-profile", "no profile '" + profile.str() + "'" ) );
+        refuse_with( make_refusal( "unknown-profile",
+                                   "no profile '" + profile.str() + "'" ) );
         return;
     }
-    auto const wait = check_limits( wanted.workspace, *known,
-                                    core::estimate_tokens( *wanted.prompt ) );
+    auto const wait =
+        apply_limits( caller_request.workspace, *found,
+                      core::estimate_tokens( *caller_request.prompt ) );
     if ( wait > core::duration( 0 ) )
     {
-        auto end = refuse( "workspace-limit", "the workspace is at its limit" );
+        auto end =
+            make_refusal( "workspace-limit", "the workspace is at its limit" );
         end.retry_after = wait;
         refuse_with( end );
         return;
     }
-    auto const opened = std::make_shared<session>( shared_, std::move( wanted ),
-                                                   *known, std::move( sink ) );
-    opened->start();
+    auto const new_session = std::make_shared<session>(
+        context_, std::move( caller_request ), *found, std::move( sink ) );
+    new_session->start();
 }
 
-auto gateway::call( plain_call const& wanted, call_done callback ) -> void
+auto gateway::call( plain_call const& incoming, call_done callback ) -> void
 {
-    if ( wanted.ticket )
+    if ( incoming.ticket )
     {
-        auto const ticket = state::parse_ticket( *wanted.ticket );
+        auto const ticket = state::parse_ticket( *incoming.ticket );
         if ( !ticket )
         {
-            callback( call_refused( "bad-ticket", ticket.error().detail ) );
+            callback( refused_outcome( "bad-ticket", ticket.error().detail ) );
             return;
         }
         if ( !ledger_.is_ours( ticket.value() ) )
         {
-            forward( wanted, ticket.value(), callback );
+            forward( incoming, ticket.value(), callback );
             return;
         }
     }
-    call_here( wanted, std::move( callback ) );
+    call_locally( incoming, std::move( callback ) );
 }
 
-auto gateway::call_here( plain_call const& wanted, call_done callback ) -> void
+auto gateway::call_locally( plain_call const& incoming, call_done callback )
+    -> void
 {
-    auto const known = find_profile( wanted.profile );
-    if ( !known || known->service != wanted.service )
+    auto const found = find_profile( incoming.profile );
+    if ( !found || found->service != incoming.service )
     {
-        callback( call_refused( "unknown-profile",
-                                "no profile '" + wanted.profile.str() +
-                                    "' for service '" + wanted.service.str() +
-                                    "'" ) );
+        callback( refused_outcome( "unknown-profile",
+                                   "no profile '" + incoming.profile.str() +
+                                       "' for service '" +
+                                       incoming.service.str() + "'" ) );
         return;
     }
-    if ( known->idempotent )
+    if ( found->idempotent )
     {
         if ( closed_.load() )
-            callback( call_refused( "leaving", "this instance is stopping" ) );
+            callback(
+                refused_outcome( "leaving", "this instance is stopping" ) );
         else
-            start_call( *known, wanted.call, std::move( callback ) );
+            start_call( *found, incoming.call, std::move( callback ) );
         return;
     }
     auto ticket = state::call_ticket{};
-    if ( wanted.ticket )
+    if ( incoming.ticket )
     {
-        auto const parsed = state::parse_ticket( *wanted.ticket );
+        auto const parsed = state::parse_ticket( *incoming.ticket );
         if ( !parsed )
         {
-            callback( call_refused( "bad-ticket", parsed.error().detail ) );
+            callback( refused_outcome( "bad-ticket", parsed.error().detail ) );
             return;
         }
         ticket = parsed.value();
     }
-    else if ( !wanted.call.key.empty() )
+    else if ( !incoming.call.key.empty() )
     {
-        callback( call_refused(
+        callback( refused_outcome(
             "ticket-required",
             "join the ticket_prefix of GET /v1/entry and the key into a "
             "Pollenstream-Ticket header, and send the same one again" ) );
@@ -211,47 +220,47 @@
     }
     else
     {
-        // Each call without a ticket is a call of its own: nobody can send it
-        // again, so nobody can run it twice.
-        auto const own = ticket_prefix() + "own-" +
-                         std::to_string( next_key_.fetch_add( 1 ) );
-        ticket = state::parse_ticket( own ).value();
+        // A call without a ticket cannot be retried by its caller, so a unique
+        // generated ticket is enough to run it at most once.
+        auto const generated = ticket_prefix() + "own-" +
+                               std::to_string( next_key_.fetch_add( 1 ) );
+        ticket = state::parse_ticket( generated ).value();
     }
     if ( !ledger_.is_ours( ticket ) )
     {
-        callback( call_unknown( "ticket-lost",
-                                "the incarnation that the ticket names has "
-                                "ended; the call may have run" ) );
+        callback( unknown_outcome( "ticket-lost",
+                                   "the incarnation that the ticket names has "
+                                   "ended; the call may have run" ) );
         return;
     }
-    run_once( wanted, *known, ticket, std::move( callback ) );
+    run_at_most_once( incoming, *found, ticket, std::move( callback ) );
 }
 
-auto gateway::run_once( plain_call const& wanted,
-                        profiles::profile const& profile,
-                        state::call_ticket const& ticket,
-                        call_done callback ) -> void
+auto gateway::run_at_most_once( plain_call const& incoming,
+                                profiles::profile const& profile,
+                                state::call_ticket const& ticket,
+                                call_done callback ) -> void
 {
-    auto const scope = scope_of( wanted );
+    auto const scope = ledger_scope( incoming );
     auto const step =
-        ledger_.begin( ticket, scope, shared_.clock.now(), callback );
+        ledger_.begin( ticket, scope, context_.clock.now(), callback );
     if ( step == state::call_ledger::step::expired )
     {
-        callback( call_unknown( "ticket-expired",
-                                "the ticket's time is over; the call may have "
-                                "run" ) );
+        callback( unknown_outcome(
+            "ticket-expired", "the ticket's time is over; the call may have "
+                              "run" ) );
         return;
     }
     if ( step == state::call_ledger::step::closed )
     {
-        callback( call_refused( "leaving", "this instance is stopping" ) );
+        callback( refused_outcome( "leaving", "this instance is stopping" ) );
         return;
     }
     if ( step == state::call_ledger::step::wait )
         return;
-    auto once = wanted.call;
-    once.key = ticket.key;
-    start_call( profile, once,
+    auto keyed_call = incoming.call;
+    keyed_call.key = ticket.key;
+    start_call( profile, keyed_call,
                 [this, ticket, scope]( state::call_outcome const& outcome )
                 {
                     ledger_.finish( ticket, scope, outcome );
@@ -262,52 +271,52 @@
                           ports::service_call const& call,
                           call_done callback ) -> void
 {
-    auto const opened = std::make_shared<service_session>(
-        shared_, services_, profile, call, std::move( callback ) );
-    opened->start();
+    auto const new_session = std::make_shared<service_session>(
+        context_, services_, profile, call, std::move( callback ) );
+    new_session->start();
 }
 
-auto gateway::forward( plain_call const& wanted,
+auto gateway::forward( plain_call const& incoming,
                        state::call_ticket const& ticket,
                        call_done const& callback ) -> void
 {
     auto const owner = members_.find( ticket.instance );
-    auto const is_there = owner && owner->incarnation == ticket.incarnation &&
-                          owner->phase != membership::member_phase::gone;
-    if ( !is_there )
+    auto const is_running = owner && owner->incarnation == ticket.incarnation &&
+                            owner->phase != membership::member_phase::gone;
+    if ( !is_running )
     {
-        callback( call_unknown( "ticket-lost",
-                                "the instance that the ticket names is gone; "
-                                "the call may have run" ) );
+        callback( unknown_outcome(
+            "ticket-lost", "the instance that the ticket names is gone; "
+                           "the call may have run" ) );
         return;
     }
-    auto const known = find_profile( wanted.profile );
+    auto const found = find_profile( incoming.profile );
     auto message = ports::forwarded_call{};
-    message.service = wanted.service;
-    message.profile = wanted.profile;
-    message.workspace = wanted.workspace;
-    message.ticket = *wanted.ticket;
-    message.call = wanted.call;
+    message.service = incoming.service;
+    message.profile = incoming.profile;
+    message.workspace = incoming.workspace;
+    message.ticket = *incoming.ticket;
+    message.call = incoming.call;
     auto const limit =
-        known ? profiles::time_limit( *known, core::token_count( 0 ) )
+        found ? profiles::time_limit( *found, core::token_count( 0 ) )
               : core::duration( 1s );
-    auto const asked = wanted.call.time_left;
+    auto const requested = incoming.call.time_left;
     message.call.time_left =
-        asked > core::duration( 0 ) ? std::min( asked, limit ) : limit;
+        requested > core::duration( 0 ) ? std::min( requested, limit ) : limit;
     auto const outcome = peers_.call( owner->peers, message );
     if ( outcome )
         callback( outcome.value() );
     else
         callback(
-            call_unknown( "ticket-unreachable", outcome.error().detail ) );
+            unknown_outcome( "ticket-unreachable", outcome.error().detail ) );
 }
 
 auto gateway::ticket_prefix() const -> std::string
 {
     auto ticket = state::call_ticket{};
-    ticket.instance = shared_.self.instance;
-    ticket.incarnation = shared_.self.incarnation;
-    ticket.expires = shared_.clock.now() + ticket_time;
+    ticket.instance = context_.self.instance;
+    ticket.incarnation = context_.self.incarnation;
+    ticket.expires = context_.clock.now() + ticket_lifetime;
     return state::to_string( ticket );
 }
 
@@ -316,21 +325,23 @@
 {
     auto const alive = members_.alive();
     auto ordered = membership::limit_owners( workspace, alive, alive.size() );
-    auto const homes = std::min( homes_per_workspace, ordered.size() );
-    auto const split = ordered.begin() + static_cast<std::ptrdiff_t>( homes );
-    auto const is_near = [&]( membership::member const& m )
+    auto const owner_count =
+        std::min( limit_owners_per_workspace, ordered.size() );
+    auto const owners_end =
+        ordered.begin() + static_cast<std::ptrdiff_t>( owner_count );
+    auto const is_local = [&]( membership::member const& m )
     {
         return m.data_centre == data_centre;
     };
-    std::stable_partition( ordered.begin(), split, is_near );
-    std::stable_partition( split, ordered.end(), is_near );
+    std::stable_partition( ordered.begin(), owners_end, is_local );
+    std::stable_partition( owners_end, ordered.end(), is_local );
     auto answer = entry_answer{};
     for ( auto const& each : ordered )
     {
-        if ( answer.addresses.size() < most_addresses )
+        if ( answer.addresses.size() < max_entry_addresses )
             answer.addresses.push_back( each.callers );
     }
-    answer.keep = entry_keep_;
+    answer.cache_time = entry_cache_time_;
     answer.ticket_prefix = ticket_prefix();
     return answer;
 }
@@ -341,10 +352,10 @@
     ledger_.close();
 }
 
-auto gateway::tidy() -> void
+auto gateway::remove_expired() -> void
 {
-    auto const now = shared_.clock.now();
-    limits_.forget_idle( now - idle_workspace );
+    auto const now = context_.clock.now();
+    limits_.forget_idle( now - idle_workspace_timeout );
     ledger_.expire( now );
 }
 
--- a/src/pollenstream/sessions/gateway.hpp
+++ b/src/pollenstream/sessions/gateway.hpp
@@ -22,7 +22,7 @@
 namespace pollenstream::sessions
 {
 
-/// A caller's call to a plain service, read and checked.
+/// A caller's call to a plain service, parsed and validated.
 struct plain_call
 {
     core::service_id service;
@@ -32,49 +32,57 @@
     ports::service_call call;
 };
 
-/// Which addresses a caller should use.
+/// The addresses that a caller should use, and the prefix for its tickets.
 struct entry_answer
 {
-    std::vector<core::address> addresses; ///< best first
-    core::duration keep{ 0 };             ///< how long to keep them
-    /// Start of tickets for non-idempotent calls; the caller adds its key.
+    std::vector<core::address> addresses; ///< preferred one first
+    core::duration cache_time{
+        0 }; ///< how long the caller may cache the addresses
+    /// Prefix of a ticket for a non-idempotent call; the caller appends its
+    /// key.
     std::string ticket_prefix;
 };
 
-/// The caller's side of an instance: finds the profile, applies the limits of
-/// the workspace and starts a session.
+/// Entry point of an instance for callers: looks up the profile, applies the
+/// limits of the workspace and starts a session.
 class gateway
 {
 public:
     using call_done = std::function<void( state::call_outcome const& )>;
 
-    gateway( context& shared,
-             state::configuration_holder& holder,
+    gateway( context& session_context,
+             state::configuration_holder& configuration,
              membership::member_table& members,
              state::call_ledger& ledger,
              ports::service_client& services,
              ports::peer_client& peers,
-             core::duration entry_keep );
+             core::duration entry_cache_time );
 
+    /// Starts a session for a model request, or refuses the request through
+    /// `sink`.
     auto answer( core::profile_id const& profile,
-                 request wanted,
+                 request caller_request,
                  std::shared_ptr<ports::answer_sink> sink ) -> void;
 
-    /// Runs a call here, or has the instance run it that its ticket names. May
-    /// block while a call is forwarded.
-    auto call( plain_call const& wanted, call_done callback ) -> void;
+    /// Runs a call on this instance, or forwards it to the instance that its
+    /// ticket names. Blocks while a call is forwarded.
+    auto call( plain_call const& incoming, call_done callback ) -> void;
 
-    /// Runs a call that a peer forwarded; never forwards it again.
-    auto call_here( plain_call const& wanted, call_done callback ) -> void;
+    /// Runs a call on this instance, e.g. one forwarded by a peer; never
+    /// forwards it.
+    auto call_locally( plain_call const& incoming, call_done callback ) -> void;
 
+    /// Returns entry addresses for a workspace: its limit owners first, and
+    /// those of `data_centre` first within each group.
     auto entry( core::workspace_id const& workspace,
                 core::data_centre_id const& data_centre ) -> entry_answer;
 
-    /// Refuses all new requests, as "not run".
+    /// Refuses all new requests with status `not_run`.
     auto close() -> void;
 
-    /// Forgets what is held for workspaces and tickets whose time is over.
-    auto tidy() -> void;
+    /// Removes the limit state of idle workspaces and the ledger entries of
+    /// expired tickets.
+    auto remove_expired() -> void;
 
     [[nodiscard]] auto limits() const -> admission::workspace_limits const&
     {
@@ -84,14 +92,16 @@
 private:
     auto find_profile( core::profile_id const& id ) const
         -> std::optional<profiles::profile>;
-    auto check_limits( core::workspace_id const& workspace,
+    /// Counts the request against the limits of its profile and workspace.
+    /// Returns zero if it is admitted, otherwise the retry-after time.
+    auto apply_limits( core::workspace_id const& workspace,
                        profiles::profile const& profile,
                        core::token_count prompt ) -> core::duration;
-    auto run_once( plain_call const& wanted,
-                   profiles::profile const& profile,
-                   state::call_ticket const& ticket,
-                   call_done callback ) -> void;
-    auto forward( plain_call const& wanted,
+    auto run_at_most_once( plain_call const& incoming,
+                           profiles::profile const& profile,
+                           state::call_ticket const& ticket,
+                           call_done callback ) -> void;
+    auto forward( plain_call const& incoming,
                   state::call_ticket const& ticket,
                   call_done const& callback ) -> void;
     auto start_call( profiles::profile const& profile,
@@ -99,13 +109,13 @@
                      call_done callback ) -> void;
     auto ticket_prefix() const -> std::string;
 
-    context& shared_;
-    state::configuration_holder& holder_;
+    context& context_;
+    state::configuration_holder& configuration_;
     membership::member_table& members_;
     state::call_ledger& ledger_;
     ports::service_client& services_;
     ports::peer_client& peers_;
-    core::duration entry_keep_;
+    core::duration entry_cache_time_;
     admission::workspace_limits limits_;
     std::atomic<bool> closed_{ false };
     std::atomic<std::uint64_t> next_key_{ 1 };
--- a/src/pollenstream/sessions/request.hpp
+++ b/src/pollenstream/sessions/request.hpp
@@ -13,13 +13,14 @@
 namespace pollenstream::sessions
 {
 
-/// A caller's request for an answer by a model, read and checked.
+/// A caller's request for an answer by a model, parsed and validated.
 struct request
 {
     core::workspace_id workspace;
     std::shared_ptr<std::string const> prompt;
-    std::optional<core::token_count> max_output; ///< absent: the profile's
-    std::optional<core::duration> time_limit;    ///< shortens the profile's
+    std::optional<core::token_count> max_output; ///< default: the profile's
+    std::optional<core::duration>
+        time_limit; ///< may only shorten the profile's
 };
 
 }
--- a/src/pollenstream/sessions/service_session.cpp
+++ b/src/pollenstream/sessions/service_session.cpp
@@ -10,55 +10,56 @@
 namespace
 {
 
-/// What one call counts as in a target's open requests.
+/// Work that one call adds to a target: an open request without tokens.
 constexpr auto call_work =
     routing::dispatched_work{ profiles::priority::normal, 0, 0 };
 
 }
 
-service_session::service_session( context& shared,
+service_session::service_session( context& session_context,
                                   ports::service_client& services,
                                   profiles::profile profile,
                                   ports::service_call call,
                                   done callback )
-    : shared_( shared ), services_( services ),
+    : context_( session_context ), services_( services ),
       profile_( std::move( profile ) ), call_( std::move( call ) ),
       callback_( std::move( callback ) )
 {
-    shared_.open_sessions.fetch_add( 1 );
+    context_.open_sessions.fetch_add( 1 );
 }
 
 service_session::~service_session()
 {
     core::check_invariant( core::invariant::ends_in_time, finished_,
                            "a service call was dropped open" );
-    shared_.open_sessions.fetch_sub( 1 );
+    context_.open_sessions.fetch_sub( 1 );
 }
 
 auto service_session::start() -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    shared_.metrics.started.add();
+    context_.metrics.started.add();
     auto limit = profiles::time_limit( profile_, core::token_count( 0 ) );
     if ( call_.time_left > core::duration( 0 ) )
         limit = std::min( limit, call_.time_left );
-    deadline_ = shared_.clock.now() + limit;
-    shared_.retries.note_request();
-    shared_.timer.at( deadline_,
-                      [weak = weak_from_this()]
-                      {
-                          if ( auto const self = weak.lock() )
-                              self->on_deadline();
-                      } );
+    deadline_ = context_.clock.now() + limit;
+    context_.retries.note_request();
+    context_.timer.at( deadline_,
+                       [weak = weak_from_this()]
+                       {
+                           if ( auto const self = weak.lock() )
+                               self->on_deadline();
+                       } );
     send();
 }
 
 auto service_session::on_deadline() -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    // A call that is out may run at this moment.
-    may_have_run_ = may_have_run_ || is_out_;
-    finish_with( status_without_reply(), "deadline", "the time is over" );
+    // A call in flight may be running at its target.
+    may_have_run_ = may_have_run_ || in_flight_;
+    finish_without_reply( status_without_reply(), "deadline",
+                          "the time is over" );
 }
 
 auto service_session::status_without_reply() const -> ports::answer_status
@@ -67,9 +68,9 @@
                          : ports::answer_status::not_run;
 }
 
-auto service_session::pick() -> std::shared_ptr<routing::target>
+auto service_session::choose_target() -> std::shared_ptr<routing::target>
 {
-    return shared_.targets.read(
+    return context_.targets.read(
         profile_.service,
         [this]( routing::target_list const& all )
         {
@@ -92,42 +93,44 @@
 
 auto service_session::send() -> void
 {
-    auto const at = pick();
-    if ( !at )
+    auto const target = choose_target();
+    if ( !target )
     {
-        finish_with( status_without_reply(), "no-target",
-                     "no target of the service is left" );
+        finish_without_reply( status_without_reply(), "no-target",
+                              "no target of the service is left" );
         return;
     }
-    auto const now = shared_.clock.now();
+    auto const now = context_.clock.now();
     core::check_invariant( core::invariant::leaving_gets_no_work,
-                           at->may_get_work( now ), at->identity().id.str() );
+                           target->may_get_work( now ),
+                           target->identity().id.str() );
     core::check_invariant( core::invariant::at_most_once,
                            profile_.idempotent || !may_have_run_,
                            call_.key.str() );
     ++attempts_;
-    tried_.push_back( at->identity().id );
-    at->add_dispatch( call_work );
+    tried_.push_back( target->identity().id );
+    target->add_dispatch( call_work );
     call_.time_left = deadline_ - now;
-    is_out_ = true;
+    in_flight_ = true;
     auto const self = shared_from_this();
-    services_.call( at->identity().address, call_,
-                    [self, at]( core::result<ports::service_reply> const& r )
-                    {
-                        self->on_reply( at, r );
-                    } );
+    services_.call(
+        target->identity().address, call_,
+        [self, target]( core::result<ports::service_reply> const& r )
+        {
+            self->on_reply( target, r );
+        } );
 }
 
 auto service_session::on_reply(
-    std::shared_ptr<routing::target> const& at,
+    std::shared_ptr<routing::target> const& target,
     core::result<ports::service_reply> const& reply ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    at->end_dispatch( call_work );
-    is_out_ = false;
+    target->end_dispatch( call_work );
+    in_flight_ = false;
     if ( finished_ )
     {
-        shared_.metrics.stray_events.add();
+        context_.metrics.stray_events.add();
         return;
     }
     if ( reply )
@@ -142,28 +145,29 @@
     if ( !core::proves_not_run( why.code ) )
         may_have_run_ = true;
     else
-        at->set_phase( routing::target_phase::suspect, shared_.clock.now() );
-    if ( may_try_again( why.code ) )
+        target->set_phase( routing::target_phase::suspect,
+                           context_.clock.now() );
+    if ( may_retry( why.code ) )
     {
-        shared_.metrics.retries.add();
+        context_.metrics.retries.add();
         send();
         return;
     }
-    finish_with( status_without_reply(), "target-failed", why.detail );
+    finish_without_reply( status_without_reply(), "target-failed", why.detail );
 }
 
-auto service_session::may_try_again( core::error_code why ) -> bool
+auto service_session::may_retry( core::error_code why ) -> bool
 {
     if ( attempts_ > profile_.retries )
         return false;
     auto const is_safe = profile_.idempotent ||
                          ( core::proves_not_run( why ) && !may_have_run_ );
-    return is_safe && shared_.retries.take();
+    return is_safe && context_.retries.take();
 }
 
-auto service_session::finish_with( ports::answer_status status,
-                                   std::string reason,
-                                   std::string detail ) -> void
+auto service_session::finish_without_reply( ports::answer_status status,
+                                            std::string reason,
+                                            std::string detail ) -> void
 {
     auto outcome = state::call_outcome{};
     outcome.status = status;
@@ -181,11 +185,11 @@
                                !may_have_run_,
                            call_.key.str() );
     if ( outcome.status == ports::answer_status::complete )
-        shared_.metrics.completed.add();
+        context_.metrics.completed.add();
     else if ( outcome.status == ports::answer_status::not_run )
-        shared_.metrics.refusals.add( outcome.reason );
+        context_.metrics.refusals.add( outcome.reason );
     else
-        shared_.metrics.failed.add();
+        context_.metrics.failed.add();
     auto const callback = std::exchange( callback_, nullptr );
     callback( outcome );
 }
--- a/src/pollenstream/sessions/service_session.hpp
+++ b/src/pollenstream/sessions/service_session.hpp
@@ -19,15 +19,16 @@
 namespace pollenstream::sessions
 {
 
-/// One call to a plain service. An idempotent one may be tried again at other
-/// targets within its time; any other is sent once, and what became of it is
-/// told as far as it can be known.
+/// One call to a plain service. An idempotent call may be retried at other
+/// targets until its deadline. A non-idempotent call runs at most once: it is
+/// retried only if it provably has not run, and is reported as `unknown` if it
+/// may have run.
 class service_session : public std::enable_shared_from_this<service_session>
 {
 public:
     using done = std::function<void( state::call_outcome const& )>;
 
-    service_session( context& shared,
+    service_session( context& session_context,
                      ports::service_client& services,
                      profiles::profile profile,
                      ports::service_call call,
@@ -39,19 +40,19 @@
     auto start() -> void;
 
 private:
-    auto pick() -> std::shared_ptr<routing::target>;
+    auto choose_target() -> std::shared_ptr<routing::target>;
     auto send() -> void;
-    auto on_reply( std::shared_ptr<routing::target> const& at,
+    auto on_reply( std::shared_ptr<routing::target> const& target,
                    core::result<ports::service_reply> const& reply ) -> void;
     auto on_deadline() -> void;
     auto status_without_reply() const -> ports::answer_status;
-    auto may_try_again( core::error_code why ) -> bool;
+    auto may_retry( core::error_code why ) -> bool;
     auto finish( state::call_outcome const& outcome ) -> void;
-    auto finish_with( ports::answer_status status,
-                      std::string reason,
-                      std::string detail ) -> void;
+    auto finish_without_reply( ports::answer_status status,
+                               std::string reason,
+                               std::string detail ) -> void;
 
-    context& shared_;
+    context& context_;
     ports::service_client& services_;
     profiles::profile profile_;
     ports::service_call call_;
@@ -61,7 +62,7 @@
     core::instant deadline_;
     std::vector<core::target_id> tried_;
     std::int64_t attempts_{ 0 };
-    bool is_out_{ false }; ///< sent, and not answered yet
+    bool in_flight_{ false }; ///< sent, no reply yet
     bool may_have_run_{ false };
     bool finished_{ false };
 };
--- a/tests/sessions/at_most_once_test.cpp
+++ b/tests/sessions/at_most_once_test.cpp
@@ -15,15 +15,16 @@
 
 constexpr auto instance_count = 3;
 
-/// What became of one service call on its way.
-enum class path
+/// What happens to a service call on its way to the target.
+enum class delivery
 {
-    fine,
-    answer_lost,   ///< it ran, and nobody hears of it
-    not_delivered, ///< the connection was refused
+    normal,
+    answer_lost,   ///< the call ran, its reply is lost
+    not_delivered, ///< the connection is refused
 };
 
-/// Three instances that forward to each other, before a service that counts.
+/// Three instances that forward calls to each other, and a service that counts
+/// the runs of each key.
 class ticket_fleet
 {
 public:
@@ -31,21 +32,21 @@
     {
         for ( auto i = 0; i < instance_count; ++i )
             start( i );
-        tell_all();
+        exchange_membership();
     }
 
-    /// Has every instance hear of all others as they are now.
-    auto tell_all() -> void
+    /// Updates the membership of every instance with the current state of all.
+    auto exchange_membership() -> void
     {
         for ( auto const& each : instances_ )
         {
-            for ( auto const& other : instances_ )
-                each->members.merge( other->members.self(), each->time.now() );
+            for ( auto const& peer : instances_ )
+                each->members.merge( peer->members.self(), each->time.now() );
         }
     }
 
-    /// Ends an instance and starts it anew, with nothing remembered. The
-    /// others do not know it yet.
+    /// Restarts an instance without its previous state. The other instances
+    /// learn of the new incarnation only by `exchange_membership`.
     auto restart( int number ) -> void
     {
         start( number );
@@ -53,19 +54,19 @@
 
     auto ticket( int number, std::string const& key ) -> std::string
     {
-        return at( number ).ticket( key );
+        return instance_at( number ).ticket( key );
     }
 
-    /// Sends the call at an instance and returns what the caller was told.
+    /// Sends a call to an instance and returns the status that the caller gets.
     auto send( int number, std::string const& ticket ) -> answer_status
     {
-        auto& one = at( number );
-        one.outcomes.clear();
-        forgive_targets();
-        plan_reply();
-        one.call( "once", ticket );
-        REQUIRE( one.outcomes.size() == 1 );
-        return one.outcomes.front().status;
+        auto& instance = instance_at( number );
+        instance.outcomes.clear();
+        revive_targets();
+        draw_delivery();
+        instance.call( "once", ticket );
+        REQUIRE( instance.outcomes.size() == 1 );
+        return instance.outcomes.front().status;
     }
 
     [[nodiscard]] auto runs( std::string const& key ) const -> int
@@ -81,7 +82,7 @@
     }
 
 private:
-    auto at( int number ) -> plain_instance&
+    auto instance_at( int number ) -> plain_instance&
     {
         return *instances_[static_cast<std::size_t>( number )];
     }
@@ -89,22 +90,22 @@
     auto start( int number ) -> void
     {
         ++incarnation_;
-        auto& one = instances_[static_cast<std::size_t>( number )];
-        one = std::make_unique<plain_instance>( "i" + std::to_string( number ),
-                                                incarnation_ );
-        one->services.on_call = [this]( ports::service_call const& call )
+        auto& instance = instances_[static_cast<std::size_t>( number )];
+        instance = std::make_unique<plain_instance>(
+            "i" + std::to_string( number ), incarnation_ );
+        instance->services.on_call = [this]( ports::service_call const& call )
         {
             return serve( call.key.str() );
         };
-        one->peers.on_call = [this]( core::address const& peer,
-                                     ports::forwarded_call const& what )
+        instance->peers.on_call = [this]( core::address const& address,
+                                          ports::forwarded_call const& message )
         {
-            return forward( peer.port - 1, what );
+            return forward( address.port - 1, message );
         };
     }
 
-    /// As `target_watch` does after a while.
-    auto forgive_targets() -> void
+    /// Marks all targets as alive, as `target_watch` does after a while.
+    auto revive_targets() -> void
     {
         for ( auto const& each : instances_ )
         {
@@ -114,96 +115,97 @@
         }
     }
 
-    auto plan_reply() -> void
+    auto draw_delivery() -> void
     {
         auto const drawn = draw( 30 );
-        path_ = drawn == 0   ? path::answer_lost
-                : drawn == 1 ? path::not_delivered
-                             : path::fine;
+        delivery_ = drawn == 0   ? delivery::answer_lost
+                    : drawn == 1 ? delivery::not_delivered
+                                 : delivery::normal;
     }
 
     auto serve( std::string const& key ) -> core::result<ports::service_reply>
     {
-        if ( path_ == path::not_delivered )
+        if ( delivery_ == delivery::not_delivered )
             return core::error{ core::error_code::unreachable, "refused" };
         ++runs_[key];
-        if ( path_ == path::answer_lost )
+        if ( delivery_ == delivery::answer_lost )
             return core::error{ core::error_code::connection_lost, "reset" };
         return ports::service_reply{ 200, "text/plain", "done" };
     }
 
-    auto forward( int number, ports::forwarded_call const& what )
+    auto forward( int number, ports::forwarded_call const& message )
         -> core::result<state::call_outcome>
     {
-        // One forward in twenty is answered into the void.
+        // The reply to one forwarded call in twenty is lost.
         auto const is_lost = draw( 20 ) == 0;
-        auto wanted = sessions::plain_call{};
-        wanted.service = what.service;
-        wanted.profile = what.profile;
-        wanted.workspace = what.workspace;
-        wanted.ticket = what.ticket;
-        wanted.call = what.call;
-        auto told = state::call_outcome{};
-        at( number ).gateway.call_here( wanted,
-                                        [&]( state::call_outcome const& o )
-                                        {
-                                            told = o;
-                                        } );
+        auto call = sessions::plain_call{};
+        call.service = message.service;
+        call.profile = message.profile;
+        call.workspace = message.workspace;
+        call.ticket = message.ticket;
+        call.call = message.call;
+        auto outcome = state::call_outcome{};
+        instance_at( number ).gateway.call_locally(
+            call,
+            [&]( state::call_outcome const& o )
+            {
+                outcome = o;
+            } );
         if ( is_lost )
             return core::error{ core::error_code::timed_out, "no answer" };
-        return told;
+        return outcome;
     }
 
     std::mt19937_64 random_;
     std::array<std::unique_ptr<plain_instance>, instance_count> instances_;
     std::map<std::string, int> runs_;
     std::int64_t incarnation_{ 0 };
-    path path_{ path::fine };
+    delivery delivery_{ delivery::normal };
 };
 
 }
 
-TEST_CASE( "of 100,000 non-idempotent calls none runs twice, and no caller is "
-           "told a wrong not-run",
+TEST_CASE( "none of 100,000 non-idempotent calls runs twice, and no caller "
+           "gets a wrong not-run status",
            "[tickets]" )
 {
     constexpr auto calls = 100'000;
     auto fleet = ticket_fleet( 1 );
-    auto doubled = 0;
+    auto repeated = 0;
     auto wrong_not_run = 0;
     auto wrong_complete = 0;
     auto complete = 0;
     for ( auto i = 0; i < calls; ++i )
     {
-        fleet.tell_all();
+        fleet.exchange_membership();
         auto const key = "k" + std::to_string( i );
         auto const owner = fleet.draw( instance_count );
         auto const ticket = fleet.ticket( owner, key );
-        auto told = std::vector<answer_status>{};
-        told.push_back( fleet.send( owner, ticket ) );
-        // In every tenth call the caller asks again, at any instance, and in
-        // some of them the owner has died in between.
+        auto statuses = std::vector<answer_status>{};
+        statuses.push_back( fleet.send( owner, ticket ) );
+        // The caller retries every tenth call at random instances; in a
+        // quarter of these cases the ticket's owner restarts first.
         if ( i % 10 == 0 )
         {
             if ( fleet.draw( 4 ) == 0 )
                 fleet.restart( owner );
-            for ( auto again = 0; again < 3; ++again )
-                told.push_back(
+            for ( auto retry = 0; retry < 3; ++retry )
+                statuses.push_back(
                     fleet.send( fleet.draw( instance_count ), ticket ) );
         }
         auto const runs = fleet.runs( key );
         auto const has = [&]( answer_status status )
         {
-            return std::count( told.begin(), told.end(), status ) > 0;
+            return std::count( statuses.begin(), statuses.end(), status ) > 0;
         };
-        doubled += runs > 1 ? 1 : 0;
+        repeated += runs > 1 ? 1 : 0;
         complete += has( answer_status::complete ) ? 1 : 0;
         wrong_complete += has( answer_status::complete ) && runs == 0 ? 1 : 0;
-        // A last word of "not run" is true at that moment.
+        // The latest `not_run` status must hold at the time it is returned.
         wrong_not_run +=
-            told.back() == answer_status::not_run && runs > 0 ? 1 : 0;
+            statuses.back() == answer_status::not_run && runs > 0 ? 1 : 0;
     }
-    CHECK( doubled == 0 );
+    CHECK( repeated == 0 );
     CHECK( wrong_complete == 0 );
     CHECK( wrong_not_run == 0 );
     CHECK( complete > calls * 9 / 10 );
--- a/tests/sessions/service_session_test.cpp
+++ b/tests/sessions/service_session_test.cpp
@@ -20,188 +20,192 @@
 
 }
 
-TEST_CASE( "an idempotent call is tried again elsewhere", "[services]" )
+TEST_CASE( "an idempotent call is retried at other targets", "[services]" )
 {
-    auto one = plain_instance();
-    one.services.replies = { lost, refused, reply( "fine" ) };
-    one.targets.replace( { plain_instance::identity( "a" ),
-                           plain_instance::identity( "b" ),
-                           plain_instance::identity( "c" ) },
-                         one.time.now() );
-    one.call( "often" );
-    REQUIRE( one.outcomes.size() == 1 );
-    CHECK( one.outcomes.front().status == answer_status::complete );
-    CHECK( one.services.keys.size() == 3 );
+    auto instance = plain_instance();
+    instance.services.replies = { lost, refused, reply( "fine" ) };
+    instance.targets.replace( { plain_instance::identity( "a" ),
+                                plain_instance::identity( "b" ),
+                                plain_instance::identity( "c" ) },
+                              instance.time.now() );
+    instance.call( "often" );
+    REQUIRE( instance.outcomes.size() == 1 );
+    CHECK( instance.outcomes.front().status == answer_status::complete );
+    CHECK( instance.services.keys.size() == 3 );
 }
 
 TEST_CASE( "a non-idempotent call whose answer is lost is not sent again",
            "[services][tickets]" )
 {
-    auto one = plain_instance();
-    one.services.replies = { lost, reply( "second run" ) };
-    auto const ticket = one.ticket( "k" );
-    one.call( "once", ticket );
-    one.call( "once", ticket );
-    REQUIRE( one.outcomes.size() == 2 );
-    CHECK( one.outcomes[0].status == answer_status::unknown );
-    CHECK( one.outcomes[1].status == answer_status::unknown );
-    CHECK( one.services.keys == std::vector<std::string>{ "k" } );
+    auto instance = plain_instance();
+    instance.services.replies = { lost, reply( "second run" ) };
+    auto const ticket = instance.ticket( "k" );
+    instance.call( "once", ticket );
+    instance.call( "once", ticket );
+    REQUIRE( instance.outcomes.size() == 2 );
+    CHECK( instance.outcomes[0].status == answer_status::unknown );
+    CHECK( instance.outcomes[1].status == answer_status::unknown );
+    CHECK( instance.services.keys == std::vector<std::string>{ "k" } );
 }
 
-TEST_CASE( "a call that never reached its service says not run and may be "
-           "sent again",
+TEST_CASE( "a call that never reached its service is reported as not run and "
+           "may be retried",
            "[services][tickets]" )
 {
-    auto one = plain_instance();
-    one.services.replies = { refused, reply( "fine" ) };
-    auto const ticket = one.ticket( "k" );
-    one.call( "once", ticket );
-    one.call( "once", ticket );
-    REQUIRE( one.outcomes.size() == 2 );
-    CHECK( one.outcomes[0].status == answer_status::not_run );
-    CHECK( one.outcomes[1].status == answer_status::complete );
+    auto instance = plain_instance();
+    instance.services.replies = { refused, reply( "fine" ) };
+    auto const ticket = instance.ticket( "k" );
+    instance.call( "once", ticket );
+    instance.call( "once", ticket );
+    REQUIRE( instance.outcomes.size() == 2 );
+    CHECK( instance.outcomes[0].status == answer_status::not_run );
+    CHECK( instance.outcomes[1].status == answer_status::complete );
 }
 
-TEST_CASE( "a call that is still out at its deadline is told as unknown",
+TEST_CASE( "a call without a reply at its deadline is reported as unknown",
            "[services]" )
 {
-    auto one = plain_instance();
-    one.call( "once", one.ticket( "k" ) );
-    REQUIRE( one.outcomes.empty() );
-    one.time.advance( 31s );
-    REQUIRE( one.outcomes.size() == 1 );
-    CHECK( one.outcomes.front().status == answer_status::unknown );
-
-    SECTION( "and its late answer changes nothing" )
+    auto instance = plain_instance();
+    instance.call( "once", instance.ticket( "k" ) );
+    REQUIRE( instance.outcomes.empty() );
+    instance.time.advance( 31s );
+    REQUIRE( instance.outcomes.size() == 1 );
+    CHECK( instance.outcomes.front().status == answer_status::unknown );
+
+    SECTION( "and its late reply changes nothing" )
     {
-        one.services.held.front()( reply( "late" ) );
-        CHECK( one.outcomes.size() == 1 );
-        CHECK( one.metrics.stray_events.value() == 1 );
+        instance.services.held.front()( reply( "late" ) );
+        CHECK( instance.outcomes.size() == 1 );
+        CHECK( instance.metrics.stray_events.value() == 1 );
     }
 }
 
-TEST_CASE( "a call that may be repeated waits for its silent target until its "
-           "time is over",
+TEST_CASE( "an idempotent call waits for its silent target until its "
+           "deadline",
            "[services][silence]" )
 {
-    auto one = plain_instance();
-    one.call( "often" );
-    REQUIRE( one.services.held.size() == 1 );
-    one.time.advance( 29s );
-    CHECK( one.outcomes.empty() );
-    CHECK( one.services.held.size() == 1 );
-
-    SECTION( "which answers" )
+    auto instance = plain_instance();
+    instance.call( "often" );
+    REQUIRE( instance.services.held.size() == 1 );
+    instance.time.advance( 29s );
+    CHECK( instance.outcomes.empty() );
+    CHECK( instance.services.held.size() == 1 );
+
+    SECTION( "and the target replies" )
     {
-        one.services.held.front()( reply( "fine" ) );
-        REQUIRE( one.outcomes.size() == 1 );
-        CHECK( one.outcomes.front().status == answer_status::complete );
+        instance.services.held.front()( reply( "fine" ) );
+        REQUIRE( instance.outcomes.size() == 1 );
+        CHECK( instance.outcomes.front().status == answer_status::complete );
     }
-    SECTION( "which does not" )
+    SECTION( "and the target does not reply" )
     {
-        one.time.advance( 2s );
-        REQUIRE( one.outcomes.size() == 1 );
-        CHECK( one.outcomes.front().reason == "deadline" );
-        one.services.held.front()( reply( "late" ) );
+        instance.time.advance( 2s );
+        REQUIRE( instance.outcomes.size() == 1 );
+        CHECK( instance.outcomes.front().reason == "deadline" );
+        instance.services.held.front()( reply( "late" ) );
     }
-    CHECK( one.targets.find( core::target_id( "a" ) )->open_requests() == 0 );
-    CHECK( one.targets.find( core::target_id( "b" ) )->open_requests() == 0 );
+    CHECK( instance.targets.find( core::target_id( "a" ) )->open_requests() ==
+           0 );
+    CHECK( instance.targets.find( core::target_id( "b" ) )->open_requests() ==
+           0 );
 }
 
-TEST_CASE( "equal tickets at once are one run with one answer",
+TEST_CASE( "concurrent calls with one ticket run once and share the reply",
            "[services][tickets]" )
 {
-    auto one = plain_instance();
-    auto const ticket = one.ticket( "k" );
-    one.call( "once", ticket );
-    one.call( "once", ticket );
-    REQUIRE( one.services.held.size() == 1 );
-    one.services.held.front()( reply( "fine" ) );
-    REQUIRE( one.outcomes.size() == 2 );
-    CHECK( one.outcomes[1].reply.body == "fine" );
+    auto instance = plain_instance();
+    auto const ticket = instance.ticket( "k" );
+    instance.call( "once", ticket );
+    instance.call( "once", ticket );
+    REQUIRE( instance.services.held.size() == 1 );
+    instance.services.held.front()( reply( "fine" ) );
+    REQUIRE( instance.outcomes.size() == 2 );
+    CHECK( instance.outcomes[1].reply.body == "fine" );
 }
 
-TEST_CASE( "a ticket of an incarnation that has ended is told as unknown",
+TEST_CASE( "a call with the ticket of an ended incarnation is unknown",
            "[services][tickets]" )
 {
-    auto one = plain_instance();
+    auto instance = plain_instance();
 
     SECTION( "of this instance" )
     {
-        one.call( "once", "me:4:99999999:k" );
+        instance.call( "once", "me:4:99999999:k" );
     }
-    SECTION( "of an instance that nobody knows" )
+    SECTION( "of an unknown instance" )
     {
-        one.call( "once", "other:1:99999999:k" );
+        instance.call( "once", "other:1:99999999:k" );
     }
-    SECTION( "of a peer that cannot be reached" )
+    SECTION( "of an unreachable peer" )
     {
-        auto other = membership::member{};
-        other.id = core::instance_id( "other" );
-        other.incarnation = core::incarnation( 1 );
-        one.members.merge( other, one.time.now() );
-        one.call( "once", "other:1:99999999:k" );
-        CHECK( one.peers.calls == 1 );
+        auto peer = membership::member{};
+        peer.id = core::instance_id( "other" );
+        peer.incarnation = core::incarnation( 1 );
+        instance.members.merge( peer, instance.time.now() );
+        instance.call( "once", "other:1:99999999:k" );
+        CHECK( instance.peers.calls == 1 );
     }
-    REQUIRE( one.outcomes.size() == 1 );
-    CHECK( one.outcomes.front().status == answer_status::unknown );
-    CHECK( one.services.keys.empty() );
+    REQUIRE( instance.outcomes.size() == 1 );
+    CHECK( instance.outcomes.front().status == answer_status::unknown );
+    CHECK( instance.services.keys.empty() );
 }
 
-TEST_CASE( "what the gateway refuses reaches no service", "[services]" )
+TEST_CASE( "a call that the gateway refuses reaches no service", "[services]" )
 {
-    auto one = plain_instance();
+    auto instance = plain_instance();
 
     SECTION( "an unknown profile" )
     {
-        one.call( "none" );
-        CHECK( one.outcomes.front().reason == "unknown-profile" );
+        instance.call( "none" );
+        CHECK( instance.outcomes.front().reason == "unknown-profile" );
     }
     SECTION( "a profile of another service" )
     {
-        one.call( "quick-1" );
-        CHECK( one.outcomes.front().reason == "unknown-profile" );
+        instance.call( "quick-1" );
+        CHECK( instance.outcomes.front().reason == "unknown-profile" );
     }
     SECTION( "a key without a ticket" )
     {
-        one.call( "once", std::nullopt, "key" );
-        CHECK( one.outcomes.front().reason == "ticket-required" );
+        instance.call( "once", std::nullopt, "key" );
+        CHECK( instance.outcomes.front().reason == "ticket-required" );
     }
     SECTION( "a malformed ticket" )
     {
-        one.call( "once", "nonsense" );
-        CHECK( one.outcomes.front().reason == "bad-ticket" );
+        instance.call( "once", "nonsense" );
+        CHECK( instance.outcomes.front().reason == "bad-ticket" );
     }
-    SECTION( "anything new once it is closed" )
+    SECTION( "new calls after the gateway is closed" )
     {
-        auto const ticket = one.ticket( "k" );
-        one.gateway.close();
-        one.call( "once", ticket );
-        one.call( "often" );
-        CHECK( one.outcomes.back().reason == "leaving" );
-        CHECK( one.outcomes.front().reason == "leaving" );
+        auto const ticket = instance.ticket( "k" );
+        instance.gateway.close();
+        instance.call( "once", ticket );
+        instance.call( "often" );
+        CHECK( instance.outcomes.back().reason == "leaving" );
+        CHECK( instance.outcomes.front().reason == "leaving" );
     }
-    CHECK( one.outcomes.front().status == answer_status::not_run );
-    CHECK( one.services.keys.empty() );
+    CHECK( instance.outcomes.front().status == answer_status::not_run );
+    CHECK( instance.services.keys.empty() );
 }
 
-TEST_CASE( "a profile's limit holds for each workspace apart", "[limits]" )
+TEST_CASE( "the limit of a profile applies to each workspace separately",
+           "[limits]" )
 {
-    auto one = plain_instance();
+    auto instance = plain_instance();
     auto const reason = [&]( std::string const& workspace )
     {
         auto answer = std::make_shared<recorded_answer>();
-        auto wanted = sessions::request{};
-        wanted.workspace = core::workspace_id( workspace );
-        wanted.prompt = std::make_shared<std::string const>( "prompt" );
-        one.gateway.answer( core::profile_id( "limited" ), wanted, answer );
+        auto request = sessions::request{};
+        request.workspace = core::workspace_id( workspace );
+        request.prompt = std::make_shared<std::string const>( "prompt" );
+        instance.gateway.answer( core::profile_id( "limited" ), request,
+                                 answer );
         return answer->end()->reason;
     };
-    // No engine is there, so that what passes the limit meets no target.
+    // There is no engine, so a request within the limit ends with `no-target`.
     CHECK( reason( "a" ) == "no-target" );
     CHECK( reason( "a" ) == "no-target" );
     CHECK( reason( "a" ) == "workspace-limit" );
     CHECK( reason( "b" ) == "no-target" );
-    one.time.advance( 2s );
+    instance.time.advance( 2s );
     CHECK( reason( "a" ) == "no-target" );
 }
