--- a/src/pollenstream/sessions/answer_assembly.cpp
+++ b/src/pollenstream/sessions/answer_assembly.cpp
@@ -10,8 +10,8 @@
 {
 }
 
-auto answer_assembly::take( ports::engine_event const& event,
-                            core::attempt_number attempt ) -> bool
+auto answer_assembly::accept( ports::engine_event const& event,
+                              core::attempt_number attempt ) -> bool
 {
     auto const is_next = event.request == request_ &&
                          event.attempt == attempt &&
--- a/src/pollenstream/sessions/answer_assembly.hpp
+++ b/src/pollenstream/sessions/answer_assembly.hpp
@@ -10,34 +10,35 @@
 namespace pollenstream::sessions
 {
 
-/// Text that is ready for the caller.
+/// Accepted text that was not yet passed to the caller.
 struct ready_text
 {
     std::string text;
     std::int64_t tokens{ 0 };
 };
 
-/// Puts one answer together out of the events of one or more attempts. Only
-/// the next token of the right request and attempt is taken; what is late,
-/// crossed or repeated is turned away.
+/// Assembles one answer from the events of one or more attempts. Accepts only
+/// the next token of the expected request and attempt, and rejects events that
+/// are late, duplicated or of another request.
 class answer_assembly
 {
 public:
     explicit answer_assembly( core::request_id request );
 
-    /// True where the event was the next one of `attempt`.
-    auto take( ports::engine_event const& event, core::attempt_number attempt )
-        -> bool;
+    /// Returns whether the event was accepted, i.e. whether it is the next one
+    /// of `attempt`.
+    auto accept( ports::engine_event const& event,
+                 core::attempt_number attempt ) -> bool;
 
-    /// What was taken since the last call.
+    /// Removes and returns the text accepted since the last call.
     auto take_ready() -> ready_text;
 
-    /// The next token's position: tokens taken so far.
+    /// Position of the next token: the number of tokens accepted so far.
     [[nodiscard]] auto position() const -> std::int64_t
     {
         return position_;
     }
-    /// All text taken so far, for a continuation on another engine.
+    /// All text accepted so far, from which another engine can continue.
     [[nodiscard]] auto text() const -> std::string const&
     {
         return text_;
@@ -46,13 +47,13 @@
     {
         return ready_.tokens > 0;
     }
-    /// True where the engine has said that no token follows.
+    /// True once the engine has sent the last event of the answer.
     [[nodiscard]] auto has_ended() const -> bool
     {
         return ended_;
     }
-    /// True where the answer has ended and all of it was handed on.
-    [[nodiscard]] auto is_whole() const -> bool
+    /// True once the answer has ended and all its text was taken.
+    [[nodiscard]] auto is_fully_taken() const -> bool
     {
         return ended_ && !has_ready();
     }
--- a/src/pollenstream/sessions/session.cpp
+++ b/src/pollenstream/sessions/session.cpp
@@ -15,30 +15,31 @@
 
 using namespace std::chrono_literals;
 
-/// How often a waiting caller is shown that its request lives; also the time
-/// within which a caller that has gone is noticed.
+/// Interval of keep-alive messages to the caller; also bounds the time until a
+/// closed caller connection is noticed.
 constexpr auto keep_alive_period = core::duration( 1s );
-/// How far an answer may end behind its deadline: the timer's and the
-/// threads' own delay.
+/// How long after its deadline an answer may end, which allows for the delay of
+/// timers and threads.
 constexpr auto deadline_slack = admission::retry_without_target;
-/// How often a request that waits for memory looks for it.
-constexpr auto park_period = core::duration( 25ms );
+/// Interval at which a request without a target with free memory looks for one.
+constexpr auto memory_poll_period = core::duration( 25ms );
 
 }
 
-session::session( context& shared,
-                  request wanted,
+session::session( context& session_context,
+                  request caller_request,
                   profiles::profile profile,
                   std::shared_ptr<ports::answer_sink> sink )
-    : shared_( shared ), id_( shared.new_request_id() ),
-      wanted_( std::move( wanted ) ), profile_( std::move( profile ) ),
+    : context_( session_context ), id_( session_context.new_request_id() ),
+      request_( std::move( caller_request ) ), profile_( std::move( profile ) ),
       sink_( std::move( sink ) ),
-      prompt_tokens_( core::estimate_tokens( *wanted_.prompt ) ),
-      max_output_( std::min( wanted_.max_output.value_or( profile_.max_output ),
-                             profile_.max_output ) ),
-      prefixes_( core::mark_prefixes( *wanted_.prompt ) ), answer_( id_ )
+      prompt_tokens_( core::estimate_tokens( *request_.prompt ) ),
+      max_output_(
+          std::min( request_.max_output.value_or( profile_.max_output ),
+                    profile_.max_output ) ),
+      prefixes_( core::mark_prefixes( *request_.prompt ) ), answer_( id_ )
 {
-    shared_.open_sessions.fetch_add( 1 );
+    context_.open_sessions.fetch_add( 1 );
 }
 
 session::~session()
@@ -48,46 +49,46 @@
     core::check_invariant( core::invariant::memory_is_returned,
                            !current_ && !silent_ && !preparing_,
                            "session of " + id_.str() + " holds an attempt" );
-    shared_.open_sessions.fetch_sub( 1 );
+    context_.open_sessions.fetch_sub( 1 );
 }
 
 auto session::start() -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    shared_.metrics.started.add();
-    admitted_ = shared_.clock.now();
+    context_.metrics.started.add();
+    admitted_ = context_.clock.now();
     auto limit = profiles::time_limit( profile_, prompt_tokens_ );
-    if ( wanted_.time_limit )
-        limit = std::min( limit, *wanted_.time_limit );
+    if ( request_.time_limit )
+        limit = std::min( limit, *request_.time_limit );
     deadline_ = admitted_ + limit;
     if ( auto const refused = admit() )
     {
         finish( *refused );
         return;
     }
-    shared_.retries.note_request();
+    context_.retries.note_request();
     arm_deadline();
     arm_keep_alive();
-    open_next();
+    open_attempt();
 }
 
-auto session::shape() const -> routing::request_shape
+auto session::make_shape() const -> routing::request_shape
 {
-    auto s = routing::request_shape{};
-    s.priority = profile_.order;
-    s.prompt_tokens = prompt_tokens_.count() + answer_.position();
-    s.output_tokens = max_output_.count() - answer_.position();
-    s.prefixes = prefixes_;
-    s.data_centres = profile_.data_centres;
-    s.tried = tried_;
-    return s;
+    auto request_shape = routing::request_shape{};
+    request_shape.priority = profile_.order;
+    request_shape.prompt_tokens = prompt_tokens_.count() + answer_.position();
+    request_shape.output_tokens = max_output_.count() - answer_.position();
+    request_shape.prefixes = prefixes_;
+    request_shape.data_centres = profile_.data_centres;
+    request_shape.tried = tried_;
+    return request_shape;
 }
 
 auto session::needs_span_group() const -> bool
 {
     auto const tokens = prompt_tokens_.count();
     auto const needed = tokens + max_output_.count();
-    return shared_.targets.read(
+    return context_.targets.read(
         profile_.service,
         [&]( routing::target_list const& all )
         {
@@ -102,28 +103,28 @@
 
 auto session::choose_target() -> std::optional<routing::target_choice>
 {
-    auto const wanted = shape();
-    auto const now = shared_.clock.now();
-    return shared_.targets.read( profile_.service,
-                                 [&]( routing::target_list const& all )
-                                 {
-                                     return shared_.policy.choose( all, wanted,
-                                                                   now );
-                                 } );
+    auto const request_shape = make_shape();
+    auto const now = context_.clock.now();
+    return context_.targets.read( profile_.service,
+                                  [&]( routing::target_list const& all )
+                                  {
+                                      return context_.policy.choose(
+                                          all, request_shape, now );
+                                  } );
 }
 
-/// A choice out of all targets where each has been tried: one that failed may
-/// work again. Where an attempt is open no other is made.
-auto session::choose_again() -> std::optional<routing::target_choice>
+/// Chooses among the untried targets or, if there is none, among all targets
+/// without an open attempt: one that has failed may work again.
+auto session::choose_with_retry() -> std::optional<routing::target_choice>
 {
     auto choice = choose_target();
     if ( choice )
         return choice;
-    tried_ = open_ids();
+    tried_ = open_target_ids();
     return choose_target();
 }
 
-auto session::open_ids() const -> std::vector<core::target_id>
+auto session::open_target_ids() const -> std::vector<core::target_id>
 {
     auto ids = std::vector<core::target_id>{};
     for ( auto const* const each : { &current_, &silent_ } )
@@ -136,9 +137,9 @@
 
 auto session::admit() -> std::optional<ports::answer_end>
 {
-    auto const time_left = deadline_ - shared_.clock.now();
+    auto const time_left = deadline_ - context_.clock.now();
     auto const capacity =
-        shared_.targets.read( profile_.service, admission::capacity_of );
+        context_.targets.read( profile_.service, admission::capacity_of );
     auto const refused = admission::check_capacity(
         capacity, { prompt_tokens_, max_output_, time_left } );
     if ( refused )
@@ -156,59 +157,61 @@
     return std::nullopt;
 }
 
-auto session::open_next() -> void
+auto session::open_attempt() -> void
 {
     if ( finished_ )
         return;
     if ( needs_span_group() )
         open_group();
     else
-        open_single();
+        open_single_target();
 }
 
-auto session::open_single() -> void
+auto session::open_single_target() -> void
 {
-    auto choice = choose_again();
+    auto choice = choose_with_retry();
     if ( !choice )
     {
-        finish( ran_ ? failure( "no-target", "no target is left to go on" )
-                     : refusal( "no-target", "no target can take the request",
-                                admission::retry_without_target ) );
+        finish( may_have_run_
+                    ? failure( "no-target", "no target is left to go on" )
+                    : refusal( "no-target", "no target can take the request",
+                               admission::retry_without_target ) );
         return;
     }
     if ( !choice->has_memory )
     {
-        park( *choice );
+        wait_for_memory( *choice );
         return;
     }
     send_attempt( std::move( *choice ), nullptr );
 }
 
-/// Looks for a target to answer instead of a silent engine, which stays open:
-/// it may live, and the target that is found may be no better.
-auto session::open_beside() -> void
+/// Opens an attempt at another target beside a silent one. The silent attempt
+/// stays open, as its engine may still be alive and the other target may be no
+/// better.
+auto session::open_hedge() -> void
 {
     if ( preparing_ || !may_retry() )
         return;
     if ( needs_span_group() )
     {
-        // A third group would hold memory beside the two.
-        if ( !silent_ && shared_.retries.take() )
+        // At most two groups of one request hold memory at a time.
+        if ( !silent_ && context_.retries.take() )
             open_group();
         return;
     }
-    auto choice = choose_again();
+    auto choice = choose_with_retry();
     auto const can_take = choice && choice->has_memory;
-    if ( !can_take || !shared_.retries.take() )
+    if ( !can_take || !context_.retries.take() )
         return;
-    shared_.metrics.retries.add();
-    set_aside();
+    context_.metrics.retries.add();
+    set_current_aside();
     send_attempt( std::move( *choice ), nullptr );
 }
 
-/// Makes room for one more attempt. Of two silent ones the first, which has
-/// had more time, is kept.
-auto session::set_aside() -> void
+/// Empties `current_` for a new attempt. If `silent_` is already in use, the
+/// current attempt is cancelled: the older one has had more time to progress.
+auto session::set_current_aside() -> void
 {
     if ( silent_ )
         end_attempt( current_, true );
@@ -216,8 +219,9 @@
         silent_ = std::exchange( current_, std::nullopt );
 }
 
-/// True where a silent engine is still open, which may go on.
-auto session::go_back() -> bool
+/// Makes the silent attempt the current one again. Returns false if there is
+/// none.
+auto session::return_to_silent() -> bool
 {
     if ( !silent_ )
         return false;
@@ -227,69 +231,73 @@
     return true;
 }
 
-auto session::park( routing::target_choice const& best ) -> void
+auto session::wait_for_memory( routing::target_choice const& best ) -> void
 {
-    // In an engine's queue it would wait for one engine's memory; here it
-    // waits for the first that comes free at any of them.
-    auto const now = shared_.clock.now();
-    // The caller who has a part of the answer loses nothing by waiting on.
-    auto const has_begun = answer_.position() > 0;
-    auto const latest = has_begun ? deadline_ : deadline_ - best.finish;
-    auto const when = now + park_period;
-    if ( when > latest )
+    // Waiting here instead of in the queue of one engine lets the request use
+    // the first free memory at any engine.
+    auto const now = context_.clock.now();
+    // Before the first token the request ends as soon as the predicted time no
+    // longer fits; afterwards waiting until the deadline costs the caller
+    // nothing.
+    auto const has_output = answer_.position() > 0;
+    auto const latest_start = has_output ? deadline_ : deadline_ - best.finish;
+    auto const when = now + memory_poll_period;
+    if ( when > latest_start )
     {
-        finish( ran_ ? failure( "no-memory", "no target has the memory free" )
-                     : refusal( "no-memory", "no target has the memory free",
-                                core::duration( 5s ) ) );
+        finish( may_have_run_
+                    ? failure( "no-memory", "no target has the memory free" )
+                    : refusal( "no-memory", "no target has the memory free",
+                               core::duration( 5s ) ) );
         return;
     }
-    shared_.metrics.parks.add();
-    shared_.timer.at( when,
-                      [self = shared_from_this()]
-                      {
-                          self->open_again();
-                      } );
+    context_.metrics.parks.add();
+    context_.timer.at( when,
+                       [self = shared_from_this()]
+                       {
+                           self->on_open_timer();
+                       } );
 }
 
-auto session::open_again() -> void
+auto session::on_open_timer() -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
     if ( !finished_ && !current_ )
-        open_next();
+        open_attempt();
 }
 
 auto session::open_group() -> void
 {
     auto const group = std::make_shared<span_group>(
-        shared_, id_.str() + "/" + std::to_string( ++groups_ ),
+        context_, id_.str() + "/" + std::to_string( ++groups_ ),
         prompt_tokens_ + core::token_count( answer_.position() ),
         max_output_ - core::token_count( answer_.position() ), deadline_ );
     preparing_ = group;
     auto const self = shared_from_this();
-    // An engine runs one attempt of a request: a second would end the first.
-    group->prepare( profile_.service, open_ids(),
+    // An engine runs one attempt per request: a second one would end the first.
+    group->prepare( profile_.service, open_target_ids(),
                     [self, group]( core::result<void> status )
                     {
-                        self->on_group_ready( group, std::move( status ) );
+                        self->on_group_prepared( group, std::move( status ) );
                     } );
 }
 
-/// Gives a group up that is not needed any more.
-auto session::drop_preparing() -> void
+/// Releases a group in preparation that is no longer needed, and returns its
+/// retry to the budget if it was a hedge that did not start.
+auto session::release_preparing() -> void
 {
     auto const group = std::exchange( preparing_, nullptr );
     if ( !group )
         return;
-    if ( ( current_ || silent_ ) && !group->started() )
-        shared_.retries.give_back();
+    if ( ( current_ || silent_ ) && !group->prefill_started() )
+        context_.retries.give_back();
     group->release();
 }
 
-auto session::on_group_ready( std::shared_ptr<span_group> const& group,
-                              core::result<void> status ) -> void
+auto session::on_group_prepared( std::shared_ptr<span_group> const& group,
+                                 core::result<void> status ) -> void
 {
     auto const lock = std::scoped_lock( mutex_ );
-    ran_ = ran_ || group->started();
+    may_have_run_ = may_have_run_ || group->prefill_started();
     if ( finished_ || group != preparing_ )
     {
         group->release();
@@ -298,16 +306,16 @@
     preparing_.reset();
     if ( !status )
     {
-        on_group_failed( group->started(), status.error() );
+        on_group_failed( group->prefill_started(), status.error() );
         return;
     }
     if ( current_ )
     {
-        shared_.metrics.retries.add();
-        set_aside();
+        context_.metrics.retries.add();
+        set_current_aside();
     }
     auto choice = routing::target_choice{};
-    choice.chosen = group->lead();
+    choice.chosen = group->decode_target();
     choice.cached_tokens = prompt_tokens_.count() + answer_.position();
     send_attempt( std::move( choice ), group );
 }
@@ -316,39 +324,39 @@
 {
     if ( current_ )
     {
-        // The silent engine may still speak.
+        // The silent attempt is still open and may continue.
         if ( !started )
-            shared_.retries.give_back();
+            context_.retries.give_back();
         return;
     }
     if ( started )
-        retry_elsewhere( why );
+        retry_or_fail( why );
     else
-        finish(
-            ran_ ? failure( "no-memory", why.detail )
-                 : refusal( "no-memory", why.detail, core::duration( 10s ) ) );
+        finish( may_have_run_ ? failure( "no-memory", why.detail )
+                              : refusal( "no-memory", why.detail,
+                                         core::duration( 10s ) ) );
 }
 
 auto session::arm_deadline() -> void
 {
     auto const weak = weak_from_this();
-    shared_.timer.at( deadline_,
-                      [weak]
-                      {
-                          if ( auto const self = weak.lock() )
-                              self->abandon( "deadline" );
-                      } );
+    context_.timer.at( deadline_,
+                       [weak]
+                       {
+                           if ( auto const self = weak.lock() )
+                               self->abandon( "deadline" );
+                       } );
 }
 
 auto session::arm_keep_alive() -> void
 {
     auto const weak = weak_from_this();
-    shared_.timer.at( shared_.clock.now() + keep_alive_period,
-                      [weak]
-                      {
-                          if ( auto const self = weak.lock() )
-                              self->on_keep_alive();
-                      } );
+    context_.timer.at( context_.clock.now() + keep_alive_period,
+                       [weak]
+                       {
+                           if ( auto const self = weak.lock() )
+                               self->on_keep_alive();
+                       } );
 }
 
 auto session::on_keep_alive() -> void
@@ -358,12 +366,12 @@
         return;
     if ( !sink_->keep_alive() )
     {
-        shared_.metrics.callers_gone.add();
+        context_.metrics.callers_gone.add();
         finish( failure( "caller-gone", "the caller closed its connection" ) );
         return;
     }
-    if ( is_silent( shared_.clock.now() ) )
-        recover_silent_stream();
+    if ( is_current_silent( context_.clock.now() ) )
+        recover_silent_current();
     if ( !finished_ )
         arm_keep_alive();
 }
@@ -375,22 +383,23 @@
         finish( failure( reason, "the request was ended: " + reason ) );
 }
 
-auto session::end_attempt( std::optional<attempt>& which, bool cancel ) -> void
+auto session::end_attempt( std::optional<attempt>& target_attempt, bool cancel )
+    -> void
 {
-    if ( !which )
+    if ( !target_attempt )
         return;
-    auto const ended = std::exchange( which, std::nullopt );
-    // What has to be cancelled may have run.
-    ran_ = ran_ || cancel;
+    auto const ended = std::exchange( target_attempt, std::nullopt );
+    // A cancelled attempt may have run.
+    may_have_run_ = may_have_run_ || cancel;
     auto& chosen = *ended->choice.chosen;
     if ( ended->prefill_counted )
         chosen.end_prefill( ended->work );
     chosen.end_dispatch( ended->work );
-    if ( ended->former && ended->former->stream )
-        ended->former->stream->detach();
+    if ( ended->previous && ended->previous->stream )
+        ended->previous->stream->detach();
     if ( cancel && ended->latest.stream )
     {
-        shared_.metrics.cancels.add();
+        context_.metrics.cancels.add();
         ended->latest.stream->cancel();
     }
     if ( ended->group )
@@ -424,24 +433,25 @@
 {
     if ( std::exchange( finished_, true ) )
         return;
-    auto const complete = end.status == ports::answer_status::complete;
-    auto const not_run = end.status == ports::answer_status::not_run;
-    core::check_invariant( core::invariant::not_run_is_true, !not_run || !ran_,
-                           id_.str() );
+    auto const is_complete = end.status == ports::answer_status::complete;
+    auto const is_not_run = end.status == ports::answer_status::not_run;
+    core::check_invariant( core::invariant::not_run_is_true,
+                           !is_not_run || !may_have_run_, id_.str() );
     core::check_invariant( core::invariant::ends_in_time,
-                           shared_.clock.now() <= deadline_ + deadline_slack,
+                           context_.clock.now() <= deadline_ + deadline_slack,
                            id_.str() );
     core::check_invariant( core::invariant::answer_is_whole,
-                           !complete || answer_.is_whole(), id_.str() );
-    drop_preparing();
-    end_attempt( current_, !complete );
-    end_attempt( silent_, !complete );
-    if ( complete )
-        shared_.metrics.completed.add();
-    else if ( not_run )
-        shared_.metrics.refusals.add( end.reason );
+                           !is_complete || answer_.is_fully_taken(),
+                           id_.str() );
+    release_preparing();
+    end_attempt( current_, !is_complete );
+    end_attempt( silent_, !is_complete );
+    if ( is_complete )
+        context_.metrics.completed.add();
+    else if ( is_not_run )
+        context_.metrics.refusals.add( end.reason );
     else
-        shared_.metrics.failed.add();
+        context_.metrics.failed.add();
     sink_->finish( end );
 }
 }
--- a/src/pollenstream/sessions/span_group.hpp
+++ b/src/pollenstream/sessions/span_group.hpp
@@ -18,20 +18,21 @@
 namespace pollenstream::sessions
 {
 
-/// Memory at several engines that together hold one prompt.
+/// KV memory at several engines that together hold one prompt.
 ///
-/// Reservations are made all or nothing: an engine answers at once whether it
-/// has the memory, a refusal gives back all that was got, and the next try
-/// comes after a pause drawn at random. Nobody waits while it holds memory, so
-/// instances cannot deadlock. Each reservation carries a time to live, after
-/// which the engine frees it even if this instance has died.
+/// Reservations are all or nothing: each engine replies immediately whether it
+/// has the memory, any refusal releases the whole round, and the next round
+/// follows after a pause with jitter. No group waits for memory while it holds
+/// some, so instances cannot deadlock. Each reservation has a time to live
+/// after which the engine frees it, even if this instance has died.
 class span_group : public std::enable_shared_from_this<span_group>
 {
 public:
-    using ready = std::function<void( core::result<void> )>;
+    using ready_callback = std::function<void( core::result<void> )>;
 
-    /// `name` is this group's own: groups of one request may meet at engines.
-    span_group( context& shared,
+    /// `name` must be unique: two groups of one request may reserve memory at
+    /// the same engine.
+    span_group( context& session_context,
                 std::string name,
                 core::token_count prompt_tokens,
                 core::token_count output_tokens,
@@ -40,49 +41,50 @@
     span_group( span_group const& ) = delete;
     auto operator=( span_group const& ) -> span_group& = delete;
 
-    /// Reserves, then reads the prompt at all engines at once. Calls back once
-    /// with success, or with why it was given up. `none_started` tells whether
-    /// any engine was asked to read.
-    /// No span is placed at an engine of `avoided`.
+    /// Reserves memory for all spans, then starts their prefill at all engines
+    /// in parallel. Calls back once, with success or the reason of the failure;
+    /// `prefill_started` then tells whether any engine may have run a prefill.
+    /// Places no span on a target in `avoided`.
     auto prepare( core::service_id const& service,
                   std::vector<core::target_id> avoided,
-                  ready callback ) -> void;
+                  ready_callback callback ) -> void;
 
-    /// Gives all memory back. May be called twice, and at any time.
+    /// Releases all memory. May be called at any time and more than once.
     auto release() -> void;
 
-    /// True where an engine was asked to read a part of the prompt.
-    [[nodiscard]] auto started() const -> bool;
-    /// The engine that decodes: it holds the last span and the output.
-    [[nodiscard]] auto lead() const -> std::shared_ptr<routing::target>;
+    /// True once any engine was asked to prefill a span.
+    [[nodiscard]] auto prefill_started() const -> bool;
+    /// The target that decodes: it holds the last span and the output.
+    [[nodiscard]] auto decode_target() const
+        -> std::shared_ptr<routing::target>;
     [[nodiscard]] auto reservations() const
         -> std::vector<core::reservation_id>;
 
 private:
     struct span
     {
-        std::shared_ptr<routing::target> at;
+        std::shared_ptr<routing::target> target;
         core::reservation_id id;
-        std::int64_t tokens{ 0 };        ///< of the prompt
-        std::int64_t memory_tokens{ 0 }; ///< prompt part and output
+        std::int64_t tokens{ 0 };        ///< prompt tokens
+        std::int64_t memory_tokens{ 0 }; ///< prompt and output tokens
     };
     using span_list = std::vector<span>;
 
     auto usable_targets( core::service_id const& service ) const
         -> routing::target_list;
-    auto plan( core::service_id const& service ) -> bool;
-    auto place_spans( routing::target_list const& candidates, double part )
-        -> bool;
+    auto plan_spans( core::service_id const& service ) -> bool;
+    auto place_spans( routing::target_list const& candidates,
+                      double memory_share ) -> bool;
     auto split_output() -> void;
-    auto try_reserve() -> void;
+    auto reserve_spans() -> void;
     auto on_reserved( std::int64_t round, core::result<void> status ) -> void;
-    auto fill() -> void;
+    auto fill_spans() -> void;
     auto on_filled( core::result<void> status ) -> void;
-    auto try_later( std::string const& why ) -> void;
+    auto retry_later( std::string const& why ) -> void;
     auto end( core::result<void> status ) -> void;
-    auto give_back( span_list const& spans ) -> void;
+    auto release_reservations( span_list const& spans ) -> void;
 
-    context& shared_;
+    context& context_;
     std::string name_;
     std::int64_t prompt_tokens_;
     std::int64_t output_tokens_;
@@ -92,12 +94,12 @@
 
     mutable std::mutex mutex_;
     span_list spans_;
-    ready callback_;
+    ready_callback callback_;
     std::int64_t round_{ 0 };
-    std::size_t awaited_{ 0 };
-    bool reserving_{ false }; ///< answers to reserve calls are awaited
-    std::optional<core::error> refusal_;
-    bool started_{ false };
+    std::size_t pending_replies_{ 0 };
+    bool reserving_{ false }; ///< replies to reserve calls are pending
+    std::optional<core::error> error_;
+    bool prefill_started_{ false };
     bool released_{ false };
 };
 
--- a/tests/sessions/answer_assembly_test.cpp
+++ b/tests/sessions/answer_assembly_test.cpp
@@ -22,28 +22,28 @@
 
 }
 
-TEST_CASE( "an answer is put together in order, each token once", "[sessions]" )
+TEST_CASE( "an answer accepts each token once and in order", "[sessions]" )
 {
     auto answer = sessions::answer_assembly( request );
-    CHECK( answer.take( token( 0 ), first ) );
-    CHECK( answer.take( token( 1 ), first ) );
+    CHECK( answer.accept( token( 0 ), first ) );
+    CHECK( answer.accept( token( 1 ), first ) );
 
-    SECTION( "leaving out repeated, early and late tokens" )
+    SECTION( "and rejects duplicated, early and late tokens" )
     {
-        CHECK_FALSE( answer.take( token( 1 ), first ) );
-        CHECK_FALSE( answer.take( token( 0 ), first ) );
-        CHECK_FALSE( answer.take( token( 3 ), first ) );
+        CHECK_FALSE( answer.accept( token( 1 ), first ) );
+        CHECK_FALSE( answer.accept( token( 0 ), first ) );
+        CHECK_FALSE( answer.accept( token( 3 ), first ) );
     }
-    SECTION( "leaving out other requests" )
+    SECTION( "and rejects events of other requests" )
     {
         auto other = token( 2 );
         other.request = core::request_id( "other" );
-        CHECK_FALSE( answer.take( other, first ) );
+        CHECK_FALSE( answer.accept( other, first ) );
     }
-    SECTION( "leaving out attempts that are over" )
+    SECTION( "and rejects events of ended attempts" )
     {
-        CHECK_FALSE( answer.take( token( 2, first ), second ) );
-        CHECK( answer.take( token( 2, second ), second ) );
+        CHECK_FALSE( answer.accept( token( 2, first ), second ) );
+        CHECK( answer.accept( token( 2, second ), second ) );
         CHECK( answer.text() == "t0 t1 t2 " );
         return;
     }
@@ -51,19 +51,19 @@
     CHECK( answer.text() == "t0 t1 " );
 }
 
-TEST_CASE( "an answer is whole when it has ended and all was handed on",
+TEST_CASE( "an answer is fully taken once it has ended and its text was taken",
            "[sessions]" )
 {
     auto answer = sessions::answer_assembly( request );
-    answer.take( token( 0 ), first );
+    answer.accept( token( 0 ), first );
     auto last = token( 1 );
     last.last = true;
-    CHECK( answer.take( last, first ) );
+    CHECK( answer.accept( last, first ) );
     CHECK( answer.has_ended() );
-    CHECK_FALSE( answer.is_whole() );
+    CHECK_FALSE( answer.is_fully_taken() );
     auto const ready = answer.take_ready();
     CHECK( ready.text == "t0 " );
     CHECK( ready.tokens == 1 );
-    CHECK( answer.is_whole() );
-    CHECK_FALSE( answer.take( token( 1 ), first ) );
+    CHECK( answer.is_fully_taken() );
+    CHECK_FALSE( answer.accept( token( 1 ), first ) );
 }
