--- a/tests/sessions/session_test.cpp
+++ b/tests/sessions/session_test.cpp
@@ -7,7 +7,7 @@
 using namespace tests;
 using ports::answer_status;
 
-TEST_CASE( "an answer reaches its caller whole", "[sessions]" )
+TEST_CASE( "a caller receives the whole answer", "[sessions]" )
 {
     auto fleet = test_fleet( 2 );
     auto const prompt = make_prompt( 1'000 );
@@ -19,7 +19,7 @@
     CHECK( fleet.engines.memory_held() == 0 );
 }
 
-TEST_CASE( "late, crossed and repeated events do not reach the caller",
+TEST_CASE( "late, duplicated and foreign events do not reach the caller",
            "[sessions]" )
 {
     auto fleet = test_fleet( 1 );
@@ -32,7 +32,8 @@
     CHECK( fleet.instances.front()->metrics.stray_events.value() > 32 );
 }
 
-TEST_CASE( "an answer goes on elsewhere when its engine dies", "[sessions]" )
+TEST_CASE( "an answer continues at another engine when its engine dies",
+           "[sessions]" )
 {
     auto fleet = test_fleet( 3 );
     auto const prompt = make_prompt( 1'000 );
@@ -47,7 +48,7 @@
     CHECK( fleet.engines.memory_held() == 0 );
 }
 
-TEST_CASE( "a broken connection is replaced and the stream read on",
+TEST_CASE( "a broken connection is replaced and the stream resumed",
            "[sessions]" )
 {
     auto fleet = test_fleet( 2 );
@@ -57,11 +58,11 @@
     REQUIRE( answer->tokens() > 0 );
     auto const engine = fleet.busy_engine();
 
-    SECTION( "that was cut" )
+    SECTION( "after it was closed" )
     {
         fleet.engines.cut_connections( engine );
     }
-    SECTION( "that went silent for good" )
+    SECTION( "after it went silent permanently" )
     {
         fleet.engines.silence_connections( engine );
     }
@@ -72,11 +73,12 @@
     CHECK( fleet.instances.front()->metrics.resumes.value() == 1 );
 }
 
-TEST_CASE( "a caller that goes away frees the engine's memory", "[sessions]" )
+TEST_CASE( "closing the caller's connection frees the engine's memory",
+           "[sessions]" )
 {
     auto fleet = test_fleet( 1 );
 
-    SECTION( "while its answer streams" )
+    SECTION( "while the answer streams" )
     {
         auto const answer = fleet.send( 1'000, patient_profile() );
         fleet.engines.run_for( 180ms );
@@ -86,7 +88,7 @@
         CHECK( answer->finishes == 1 );
         CHECK( fleet.engines.memory_held() == 0 );
     }
-    SECTION( "while it waits for the first token" )
+    SECTION( "before the first token" )
     {
         auto const answer = fleet.send( 300'000, patient_profile() );
         fleet.engines.run_for( 100ms );
@@ -115,7 +117,7 @@
     CHECK( answer->end()->reason == "deadline" );
 }
 
-TEST_CASE( "a refusal that says not run was sent nowhere", "[sessions]" )
+TEST_CASE( "a request refused as not run was sent to no engine", "[sessions]" )
 {
     auto fleet = test_fleet( 2 );
 
@@ -130,7 +132,7 @@
         CHECK( answer->end()->reason == "too-late" );
         CHECK( answer->end()->retry_after );
     }
-    SECTION( "when the prompt fits nowhere" )
+    SECTION( "when the prompt fits into no set of targets" )
     {
         auto const answer = fleet.send( 5'000'000, patient_profile() );
         REQUIRE( answer->end() );
@@ -148,7 +150,7 @@
     CHECK( fleet.engines.opens() == 0 );
 }
 
-TEST_CASE( "a request that no target could be reached for is told as not run",
+TEST_CASE( "a request without a reachable target is reported as not run",
            "[sessions]" )
 {
     auto fleet = test_fleet( 2 );
@@ -160,20 +162,21 @@
     CHECK( answer->end()->status == answer_status::not_run );
 }
 
-TEST_CASE( "later retries pause, the first does not", "[sessions][retries]" )
+TEST_CASE( "the first retry is immediate, later ones pause",
+           "[sessions][retries]" )
 {
     auto fleet = test_fleet( 3 );
     for ( auto const* const id : { "engine-0", "engine-1", "engine-2" } )
         fleet.engines.kill( id );
     auto const answer = fleet.send( 1'000, patient_profile() );
-    // Half a millisecond to each refusal.
+    // Each refusal takes half a millisecond.
     fleet.engines.run_for( 10ms );
     CHECK( fleet.engines.opens() == 2 );
     fleet.engines.run_for( 1s );
     CHECK( fleet.engines.opens() > 2 );
 }
 
-TEST_CASE( "retries come from a budget", "[sessions]" )
+TEST_CASE( "retries are limited by a budget", "[sessions]" )
 {
     auto fleet = test_fleet( 1 );
     auto profile = patient_profile();
--- a/tests/sessions/silent_engine_test.cpp
+++ b/tests/sessions/silent_engine_test.cpp
@@ -10,24 +10,25 @@
 namespace
 {
 
-/// A stream that is silent for so long is read over a new connection; for so
-/// long again, it is looked for elsewhere.
-constexpr auto one_silence = core::duration( 6'500ms );
-constexpr auto two_silences = core::duration( 13s );
-/// A small prompt without a first token after so long is stalled.
-constexpr auto stalled = core::duration( 800ms );
+/// After `silence_timeout` a silent stream is resumed over a new connection;
+/// after `hedge_timeout` another engine is tried as well.
+constexpr auto silence_timeout = core::duration( 6'500ms );
+constexpr auto hedge_timeout = core::duration( 13s );
+/// A small prompt without a first token after this long is stalled.
+constexpr auto stall_timeout = core::duration( 800ms );
 constexpr auto small_prompt = 1'000;
 constexpr auto medium_prompt = 10'000;
-/// More than half of one engine's memory: it is read by several.
+/// Needs a span group: more than half of one engine's memory.
 constexpr auto long_prompt = 250'000;
 
-/// An answer of three tokens whose engine falls silent after the first.
-struct begun_answer : scripted_fleet
+/// An answer of three tokens whose engine goes silent after the first.
+struct started_answer : scripted_fleet
 {
-    explicit begun_answer( int count,
-                           profiles::profile const& profile = patient_profile(),
-                           std::int64_t prompt = medium_prompt,
-                           std::int64_t memory = 400'000 )
+    explicit started_answer(
+        int count,
+        profiles::profile const& profile = patient_profile(),
+        std::int64_t prompt = medium_prompt,
+        std::int64_t memory = 400'000 )
         : scripted_fleet( count, memory )
     {
         send( prompt, profile );
@@ -35,8 +36,8 @@
         stream( 0 ).write( 0 );
     }
 
-    /// The connection that the silent engine may still write on.
-    auto last_of( std::string const& engine ) -> scripted_stream&
+    /// The newest connection to `engine`.
+    auto last_connection( std::string const& engine ) -> scripted_stream&
     {
         auto found = std::shared_ptr<scripted_stream>{};
         for ( auto const& each : engines.all )
@@ -48,8 +49,8 @@
         return *found;
     }
 
-    /// The connections of one attempt, in order.
-    auto attempt( std::int64_t number )
+    /// The connections of one attempt, oldest first.
+    auto connections_of( std::int64_t number )
         -> std::vector<std::shared_ptr<scripted_stream>>
     {
         auto found = std::vector<std::shared_ptr<scripted_stream>>{};
@@ -61,18 +62,19 @@
         return found;
     }
 
-    /// The first engine goes on and ends the answer.
-    auto first_goes_on() -> void
+    /// The first engine continues and completes the answer.
+    auto complete_at_first_engine() -> void
     {
-        auto& from = last_of( stream( 0 ).engine );
-        from.write( 1 );
-        from.write( 2 );
-        from.complete( 3 );
+        auto& connection = last_connection( stream( 0 ).engine );
+        connection.write( 1 );
+        connection.write( 2 );
+        connection.complete( 3 );
     }
 
-    /// What the caller has where all of it came from `first` and `rest`.
-    static auto text_of( std::string const& first, std::string const& rest )
-        -> std::string
+    /// The text of an answer with its first token from `first`, the others from
+    /// `rest`.
+    static auto expected_text( std::string const& first,
+                               std::string const& rest ) -> std::string
     {
         return first + "0 " + rest + "1 " + rest + "2 ";
     }
@@ -80,507 +82,518 @@
 
 }
 
-TEST_CASE( "a silent connection is kept until the new one speaks",
+TEST_CASE( "a silent connection stays open until the new one delivers a token",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 1 );
-    s.time.advance( one_silence );
-    REQUIRE( s.engines.all.size() == 2 );
-    REQUIRE( s.stream( 1 ).resumed );
-    CHECK_FALSE( s.stream( 0 ).detached );
-    auto is_kept = true;
-
-    SECTION( "the new one cannot be made" )
+    auto fleet = started_answer( 1 );
+    fleet.time.advance( silence_timeout );
+    REQUIRE( fleet.engines.all.size() == 2 );
+    REQUIRE( fleet.stream( 1 ).resumed );
+    CHECK_FALSE( fleet.stream( 0 ).detached );
+    auto is_first_open = true;
+
+    SECTION( "the new one fails" )
     {
-        s.stream( 1 ).lose( GENERATE( error_code::unreachable,
-                                      error_code::refused,
-                                      error_code::connection_lost ) );
+        fleet.stream( 1 ).lose( GENERATE( error_code::unreachable,
+                                          error_code::refused,
+                                          error_code::connection_lost ) );
     }
-    SECTION( "the old one speaks first" )
+    SECTION( "the old one delivers first" )
     {
-        s.stream( 0 ).write( 1 );
-        CHECK( s.stream( 1 ).detached );
-        s.stream( 0 ).write( 2 );
-        s.stream( 0 ).complete( 3 );
-        CHECK( s.answer->is_complete() );
+        fleet.stream( 0 ).write( 1 );
+        CHECK( fleet.stream( 1 ).detached );
+        fleet.stream( 0 ).write( 2 );
+        fleet.stream( 0 ).complete( 3 );
+        CHECK( fleet.answer->is_complete() );
         return;
     }
     SECTION( "the old one ends" )
     {
-        s.stream( 0 ).lose( error_code::connection_lost );
-        is_kept = false;
+        fleet.stream( 0 ).lose( error_code::connection_lost );
+        is_first_open = false;
     }
-    SECTION( "the new one speaks" )
+    SECTION( "the new one delivers first" )
     {
-        s.stream( 1 ).write( 1 );
-        CHECK( s.stream( 0 ).detached );
-        CHECK_FALSE( s.stream( 0 ).cancelled );
-        s.stream( 1 ).write( 2 );
-        s.stream( 1 ).complete( 3 );
-        CHECK( s.answer->is_complete() );
+        fleet.stream( 1 ).write( 1 );
+        CHECK( fleet.stream( 0 ).detached );
+        CHECK_FALSE( fleet.stream( 0 ).cancelled );
+        fleet.stream( 1 ).write( 2 );
+        fleet.stream( 1 ).complete( 3 );
+        CHECK( fleet.answer->is_complete() );
         return;
     }
-    REQUIRE_FALSE( s.answer->end() );
-    s.time.advance( one_silence );
-    REQUIRE_FALSE( s.answer->end() );
-    auto& speaks = is_kept ? s.stream( 0 ) : s.last_of( "a" );
-    speaks.write( 1 );
-    speaks.write( 2 );
-    speaks.complete( 3 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
-    CHECK( s.engines.open_attempts() == 0 );
+    REQUIRE_FALSE( fleet.answer->end() );
+    fleet.time.advance( silence_timeout );
+    REQUIRE_FALSE( fleet.answer->end() );
+    auto& open_stream =
+        is_first_open ? fleet.stream( 0 ) : fleet.last_connection( "a" );
+    open_stream.write( 1 );
+    open_stream.write( 2 );
+    open_stream.complete( 3 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.engines.open_attempts() == 0 );
 }
 
-TEST_CASE( "an engine that knows nothing of what it had begun has ended it",
+TEST_CASE( "an engine that no longer knows a started request has ended it",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 1 );
-    s.time.advance( one_silence );
-    REQUIRE( s.engines.all.size() == 2 );
-    s.stream( 1 ).lose( error_code::not_found );
-    CHECK( s.stream( 0 ).detached );
-    REQUIRE( s.attempt( 2 ).size() == 1 );
-    auto& second = *s.attempt( 2 ).front();
+    auto fleet = started_answer( 1 );
+    fleet.time.advance( silence_timeout );
+    REQUIRE( fleet.engines.all.size() == 2 );
+    fleet.stream( 1 ).lose( error_code::not_found );
+    CHECK( fleet.stream( 0 ).detached );
+    REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+    auto& second = *fleet.connections_of( 2 ).front();
     CHECK( second.request.from_position == 1 );
     second.write( 1 );
     second.complete( 2 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "an engine that has not begun may not know of a request yet",
+TEST_CASE( "an engine may not know a request before its first token",
            "[sessions][silence]" )
 {
-    auto s = scripted_fleet( 1 );
-    s.send( medium_prompt, patient_profile() );
-    s.time.advance( 2 * one_silence );
-    REQUIRE( s.engines.all.size() == 2 );
-    s.stream( 1 ).lose( error_code::not_found );
-    REQUIRE( s.stream( 0 ).is_open() );
-    s.stream( 0 ).write( 0 );
-    s.stream( 0 ).complete( 1 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    auto fleet = scripted_fleet( 1 );
+    fleet.send( medium_prompt, patient_profile() );
+    fleet.time.advance( 2 * silence_timeout );
+    REQUIRE( fleet.engines.all.size() == 2 );
+    fleet.stream( 1 ).lose( error_code::not_found );
+    REQUIRE( fleet.stream( 0 ).is_open() );
+    fleet.stream( 0 ).write( 0 );
+    fleet.stream( 0 ).complete( 1 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "an answer that has begun is not ended by its engine's silence",
+TEST_CASE( "a started answer is not ended by its engine's silence",
            "[sessions][silence]" )
 {
-    auto const lack = GENERATE( as<std::string>(), "no repeat", "no budget",
-                                "no other engine", "no memory" );
-    INFO( lack );
+    auto const obstacle = GENERATE( as<std::string>(), "no retry", "no budget",
+                                    "no other engine", "no memory" );
+    INFO( obstacle );
     auto profile = patient_profile();
-    if ( lack == "no repeat" )
+    if ( obstacle == "no retry" )
         profile.retries = 0;
-    auto s = begun_answer( lack == "no other engine" ? 1 : 2, profile );
-    auto const silent = s.stream( 0 ).engine;
-    if ( lack == "no budget" )
-        s.use_retries_up();
-    if ( lack == "no memory" )
-        s.say_memory( silent == "a" ? "b" : "a", 400'000 );
-    s.time.advance( two_silences );
-    CHECK_FALSE( s.answer->end() );
-    CHECK( s.engines.open_attempts() == 1 );
-    SECTION( "and it goes on" )
+    auto fleet =
+        started_answer( obstacle == "no other engine" ? 1 : 2, profile );
+    auto const silent_engine = fleet.stream( 0 ).engine;
+    if ( obstacle == "no budget" )
+        fleet.use_retries_up();
+    if ( obstacle == "no memory" )
+        fleet.say_memory( silent_engine == "a" ? "b" : "a", 400'000 );
+    fleet.time.advance( hedge_timeout );
+    CHECK_FALSE( fleet.answer->end() );
+    CHECK( fleet.engines.open_attempts() == 1 );
+    SECTION( "and the engine continues" )
     {
-        s.time.advance( 1min );
-        s.first_goes_on();
-        CHECK( s.answer->is_complete() );
-        CHECK( s.answer->text() == s.text_of( silent, silent ) );
+        fleet.time.advance( 1min );
+        fleet.complete_at_first_engine();
+        CHECK( fleet.answer->is_complete() );
+        CHECK( fleet.answer->text() ==
+               fleet.expected_text( silent_engine, silent_engine ) );
     }
-    SECTION( "and its time is over" )
+    SECTION( "and its deadline passes" )
     {
-        s.time.advance( 11min );
-        REQUIRE( s.answer->end() );
-        CHECK( s.answer->end()->reason == "deadline" );
-        CHECK( s.last_of( silent ).cancelled );
+        fleet.time.advance( 11min );
+        REQUIRE( fleet.answer->end() );
+        CHECK( fleet.answer->end()->reason == "deadline" );
+        CHECK( fleet.last_connection( silent_engine ).cancelled );
     }
-    CHECK( s.counted_work() == 0 );
-    CHECK( s.engines.open_attempts() == 0 );
+    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.engines.open_attempts() == 0 );
 }
 
-TEST_CASE( "a silent engine with nothing beside it is asked again and again",
+TEST_CASE( "a silent engine without alternative is resumed repeatedly",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 1 );
-    s.time.advance( 31s );
-    // Each new one takes the place of the last; the first is kept.
-    CHECK( s.engines.all.size() == 6 );
-    CHECK( s.stream( 0 ).is_open() );
-    CHECK_FALSE( s.stream( 4 ).is_open() );
-    CHECK( s.metrics.resumes.value() == 5 );
-    s.stream( 5 ).write( 1 );
-    CHECK_FALSE( s.stream( 0 ).is_open() );
-    s.stream( 5 ).write( 2 );
-    s.stream( 5 ).complete( 3 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    auto fleet = started_answer( 1 );
+    fleet.time.advance( 31s );
+    // Each new connection replaces the previous one; the first stays open.
+    CHECK( fleet.engines.all.size() == 6 );
+    CHECK( fleet.stream( 0 ).is_open() );
+    CHECK_FALSE( fleet.stream( 4 ).is_open() );
+    CHECK( fleet.metrics.resumes.value() == 5 );
+    fleet.stream( 5 ).write( 1 );
+    CHECK_FALSE( fleet.stream( 0 ).is_open() );
+    fleet.stream( 5 ).write( 2 );
+    fleet.stream( 5 ).complete( 3 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "of a silent engine and the one found instead, the first to speak "
-           "goes on",
+TEST_CASE( "of a silent engine and its hedge, the first to deliver "
+           "continues",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 2 );
-    s.time.advance( two_silences );
-    REQUIRE( s.attempt( 2 ).size() == 1 );
-    auto& second = *s.attempt( 2 ).front();
-    auto const silent = s.stream( 0 ).engine;
-    CHECK( second.engine != silent );
+    auto fleet = started_answer( 2 );
+    fleet.time.advance( hedge_timeout );
+    REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+    auto& second = *fleet.connections_of( 2 ).front();
+    auto const silent_engine = fleet.stream( 0 ).engine;
+    CHECK( second.engine != silent_engine );
     CHECK( second.request.from_position == 1 );
     CHECK( second.request.attempt == core::attempt_number( 2 ) );
-    CHECK_FALSE( s.last_of( silent ).cancelled );
-    CHECK( s.engines.open_attempts() == 2 );
-    CHECK( s.counted_work() == 2 );
+    CHECK_FALSE( fleet.last_connection( silent_engine ).cancelled );
+    CHECK( fleet.engines.open_attempts() == 2 );
+    CHECK( fleet.counted_work() == 2 );
 
-    SECTION( "the silent one" )
+    SECTION( "the silent engine" )
     {
-        s.first_goes_on();
+        fleet.complete_at_first_engine();
         CHECK( second.cancelled );
-        CHECK( s.answer->text() == s.text_of( silent, silent ) );
+        CHECK( fleet.answer->text() ==
+               fleet.expected_text( silent_engine, silent_engine ) );
     }
-    SECTION( "the other one" )
+    SECTION( "the hedge" )
     {
         second.write( 1 );
-        CHECK( s.last_of( silent ).cancelled );
-        s.last_of( silent ).write( 1 );
+        CHECK( fleet.last_connection( silent_engine ).cancelled );
+        fleet.last_connection( silent_engine ).write( 1 );
         second.write( 2 );
         second.complete( 3 );
-        CHECK( s.answer->text() == s.text_of( silent, second.engine ) );
+        CHECK( fleet.answer->text() ==
+               fleet.expected_text( silent_engine, second.engine ) );
     }
-    SECTION( "neither before the time is over" )
+    SECTION( "neither before the deadline" )
     {
-        s.time.advance( 11min );
-        CHECK( s.answer->end()->reason == "deadline" );
-        CHECK( s.last_of( silent ).cancelled );
-        CHECK( s.last_of( second.engine ).cancelled );
-        CHECK( s.counted_work() == 0 );
+        fleet.time.advance( 11min );
+        CHECK( fleet.answer->end()->reason == "deadline" );
+        CHECK( fleet.last_connection( silent_engine ).cancelled );
+        CHECK( fleet.last_connection( second.engine ).cancelled );
+        CHECK( fleet.counted_work() == 0 );
         return;
     }
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
-    CHECK( s.engines.open_attempts() == 0 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.engines.open_attempts() == 0 );
 }
 
-TEST_CASE( "where the engine found instead fails, the silent one may go on",
+TEST_CASE( "the silent engine may continue if the hedge fails",
            "[sessions][silence]" )
 {
     auto profile = patient_profile();
     profile.retries = 1;
-    auto s = begun_answer( 2, profile );
-    s.time.advance( two_silences );
-    REQUIRE( s.attempt( 2 ).size() == 1 );
-    auto const silent = s.stream( 0 ).engine;
-    s.attempt( 2 ).front()->lose( GENERATE(
+    auto fleet = started_answer( 2, profile );
+    fleet.time.advance( hedge_timeout );
+    REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+    auto const silent_engine = fleet.stream( 0 ).engine;
+    fleet.connections_of( 2 ).front()->lose( GENERATE(
         error_code::unreachable, error_code::refused, error_code::failed,
         error_code::not_found, error_code::connection_lost ) );
-    if ( s.attempt( 2 ).size() == 2 )
-        s.attempt( 2 ).back()->lose( error_code::unreachable );
-    s.time.advance( 1min );
-    REQUIRE_FALSE( s.answer->end() );
-    s.first_goes_on();
-    CHECK( s.answer->is_complete() );
-    CHECK( s.answer->text() == s.text_of( silent, silent ) );
-    CHECK( s.counted_work() == 0 );
+    if ( fleet.connections_of( 2 ).size() == 2 )
+        fleet.connections_of( 2 ).back()->lose( error_code::unreachable );
+    fleet.time.advance( 1min );
+    REQUIRE_FALSE( fleet.answer->end() );
+    fleet.complete_at_first_engine();
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.answer->text() ==
+           fleet.expected_text( silent_engine, silent_engine ) );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a silent engine that breaks after all leaves the one found instead",
+TEST_CASE( "the hedge continues if the silent engine fails",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 2 );
-    s.time.advance( two_silences );
-    REQUIRE( s.attempt( 2 ).size() == 1 );
-    for ( auto const& each : s.attempt( 1 ) )
+    auto fleet = started_answer( 2 );
+    fleet.time.advance( hedge_timeout );
+    REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+    for ( auto const& each : fleet.connections_of( 1 ) )
         each->lose( error_code::connection_lost );
-    CHECK( s.counted_work() == 1 );
-    auto& second = *s.attempt( 2 ).front();
+    CHECK( fleet.counted_work() == 1 );
+    auto& second = *fleet.connections_of( 2 ).front();
     second.write( 1 );
     second.write( 2 );
     second.complete( 3 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "one attempt at most is open beside a silent engine",
+TEST_CASE( "at most one hedge is open beside a silent engine",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 4 );
-    auto const silent = s.stream( 0 ).engine;
-    for ( auto passed = 0s; passed < 2min; passed += 1s )
+    auto fleet = started_answer( 4 );
+    auto const silent_engine = fleet.stream( 0 ).engine;
+    for ( auto elapsed = 0s; elapsed < 2min; elapsed += 1s )
     {
-        s.time.advance( 1s );
-        CHECK( s.engines.open_attempts() <= 2 );
+        fleet.time.advance( 1s );
+        CHECK( fleet.engines.open_attempts() <= 2 );
     }
-    // Three repeats, each at another engine.
-    CHECK( s.metrics.retries.value() == 3 );
-    CHECK_FALSE( s.answer->end() );
-    s.first_goes_on();
-    CHECK( s.answer->is_complete() );
-    CHECK( s.answer->text() == s.text_of( silent, silent ) );
-    CHECK( s.counted_work() == 0 );
+    // Three retries, each at another engine.
+    CHECK( fleet.metrics.retries.value() == 3 );
+    CHECK_FALSE( fleet.answer->end() );
+    fleet.complete_at_first_engine();
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.answer->text() ==
+           fleet.expected_text( silent_engine, silent_engine ) );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a small prompt whose answer goes on elsewhere stays where it is "
-           "written",
+TEST_CASE( "a small prompt that already decodes at another engine does not "
+           "move",
            "[sessions][silence]" )
 {
-    auto s = begun_answer( 3, patient_profile(), small_prompt );
-    s.stream( 0 ).lose( error_code::failed );
-    REQUIRE( s.attempt( 2 ).size() == 1 );
-    auto& second = *s.attempt( 2 ).front();
+    auto fleet = started_answer( 3, patient_profile(), small_prompt );
+    fleet.stream( 0 ).lose( error_code::failed );
+    REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+    auto& second = *fleet.connections_of( 2 ).front();
     second.write( 1 );
-    // Longer than reading it takes, so that only what is counted as unread is.
-    s.time.advance( 200ms );
-    CHECK( s.target( second.engine )->backlog( s.time.now() ) == 0 );
-    s.time.advance( stalled );
-    CHECK( s.metrics.moves.value() == 0 );
-    CHECK( s.engines.all.size() == 2 );
+    // Longer than its prefill takes, so the backlog is only what is still
+    // counted as prefill.
+    fleet.time.advance( 200ms );
+    CHECK( fleet.target( second.engine )->backlog( fleet.time.now() ) == 0 );
+    fleet.time.advance( stall_timeout );
+    CHECK( fleet.metrics.moves.value() == 0 );
+    CHECK( fleet.engines.all.size() == 2 );
     REQUIRE( second.is_open() );
     second.write( 2 );
     second.complete( 3 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a stalled small prompt stays where it is as long as no other can "
-           "take it",
+TEST_CASE( "a stalled small prompt stays at its engine while no other has "
+           "capacity",
            "[sessions][silence]" )
 {
     auto engines = GENERATE( 1, 2 );
-    auto s = scripted_fleet( engines );
+    auto fleet = scripted_fleet( engines );
     auto profile = patient_profile();
     profile.retries = 0;
-    s.send( small_prompt, profile );
-    REQUIRE( s.engines.all.size() == 1 );
+    fleet.send( small_prompt, profile );
+    REQUIRE( fleet.engines.all.size() == 1 );
     for ( auto const* const id : { "a", "b" } )
     {
-        if ( s.target( id ) )
-            s.say_memory( id, s.memory_tokens );
+        if ( fleet.target( id ) )
+            fleet.say_memory( id, fleet.memory_tokens );
     }
-    s.time.advance( 3 * stalled );
-    CHECK( s.engines.all.size() == 1 );
-    CHECK_FALSE( s.stream( 0 ).cancelled );
-    CHECK( s.metrics.moves.value() == 0 );
+    fleet.time.advance( 3 * stall_timeout );
+    CHECK( fleet.engines.all.size() == 1 );
+    CHECK_FALSE( fleet.stream( 0 ).cancelled );
+    CHECK( fleet.metrics.moves.value() == 0 );
 
-    SECTION( "and it answers" )
+    SECTION( "and the engine answers" )
     {
-        s.stream( 0 ).write( 0 );
-        s.stream( 0 ).complete( 1 );
-        CHECK( s.answer->is_complete() );
+        fleet.stream( 0 ).write( 0 );
+        fleet.stream( 0 ).complete( 1 );
+        CHECK( fleet.answer->is_complete() );
     }
-    SECTION( "and moves once another can" )
+    SECTION( "and moves once another has capacity" )
     {
         if ( engines == 1 )
             return;
-        auto const other = s.stream( 0 ).engine == "a" ? "b" : "a";
-        s.say_memory( other, 0 );
-        s.time.advance( stalled );
-        REQUIRE( s.engines.all.size() == 2 );
-        CHECK( s.stream( 1 ).engine == other );
-        CHECK( s.metrics.moves.value() == 1 );
-        s.stream( 1 ).write( 0 );
-        CHECK( s.stream( 0 ).cancelled );
-        s.stream( 1 ).complete( 1 );
-        CHECK( s.answer->is_complete() );
+        auto const other = fleet.stream( 0 ).engine == "a" ? "b" : "a";
+        fleet.say_memory( other, 0 );
+        fleet.time.advance( stall_timeout );
+        REQUIRE( fleet.engines.all.size() == 2 );
+        CHECK( fleet.stream( 1 ).engine == other );
+        CHECK( fleet.metrics.moves.value() == 1 );
+        fleet.stream( 1 ).write( 0 );
+        CHECK( fleet.stream( 0 ).cancelled );
+        fleet.stream( 1 ).complete( 1 );
+        CHECK( fleet.answer->is_complete() );
     }
-    CHECK( s.counted_work() == 0 );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a stalled small prompt that is sent elsewhere is answered by the "
-           "first to speak",
+TEST_CASE( "a stalled small prompt is answered by the engine that delivers "
+           "first",
            "[sessions][silence]" )
 {
-    auto s = scripted_fleet( 2 );
+    auto fleet = scripted_fleet( 2 );
     auto profile = patient_profile();
     profile.retries = 0;
-    s.send( small_prompt, profile );
-    s.time.advance( stalled );
-    REQUIRE( s.engines.all.size() == 2 );
-    CHECK_FALSE( s.stream( 0 ).cancelled );
+    fleet.send( small_prompt, profile );
+    fleet.time.advance( stall_timeout );
+    REQUIRE( fleet.engines.all.size() == 2 );
+    CHECK_FALSE( fleet.stream( 0 ).cancelled );
 
     SECTION( "the other fails" )
     {
-        s.stream( 1 ).lose(
+        fleet.stream( 1 ).lose(
             GENERATE( error_code::unreachable, error_code::refused ) );
     }
     SECTION( "the other is slower" ) {}
-    REQUIRE_FALSE( s.answer->end() );
-    s.stream( 0 ).write( 0 );
-    CHECK_FALSE( s.stream( 1 ).is_open() );
-    s.stream( 0 ).complete( 1 );
-    CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    REQUIRE_FALSE( fleet.answer->end() );
+    fleet.stream( 0 ).write( 0 );
+    CHECK_FALSE( fleet.stream( 1 ).is_open() );
+    fleet.stream( 0 ).complete( 1 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a stalled prompt that both engines refuse is told as not run",
+TEST_CASE( "a stalled prompt that both engines refuse is reported as not run",
            "[sessions][silence]" )
 {
-    auto s = scripted_fleet( 2 );
+    auto fleet = scripted_fleet( 2 );
     auto profile = patient_profile();
     profile.retries = 0;
-    s.send( small_prompt, profile );
-    s.time.advance( stalled );
-    REQUIRE( s.engines.all.size() == 2 );
+    fleet.send( small_prompt, profile );
+    fleet.time.advance( stall_timeout );
+    REQUIRE( fleet.engines.all.size() == 2 );
 
-    SECTION( "the one found instead first" )
+    SECTION( "the hedge first" )
     {
-        s.stream( 1 ).lose( error_code::unreachable );
-        s.stream( 0 ).lose( error_code::refused );
+        fleet.stream( 1 ).lose( error_code::unreachable );
+        fleet.stream( 0 ).lose( error_code::refused );
     }
     SECTION( "the stalled one first" )
     {
-        s.stream( 0 ).lose( error_code::refused );
-        s.stream( 1 ).lose( error_code::unreachable );
+        fleet.stream( 0 ).lose( error_code::refused );
+        fleet.stream( 1 ).lose( error_code::unreachable );
     }
-    REQUIRE( s.answer->end() );
-    CHECK( s.answer->end()->status == answer_status::not_run );
-    CHECK( s.counted_work() == 0 );
+    REQUIRE( fleet.answer->end() );
+    CHECK( fleet.answer->end()->status == answer_status::not_run );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "a group of engines is not ended by the silence of the one that "
-           "writes",
+TEST_CASE( "a span group is not ended by the silence of its decode "
+           "target",
            "[sessions][silence][spans]" )
 {
     constexpr auto engine_memory = 100'000;
     auto profile = patient_profile();
     auto engines = 4;
-    SECTION( "with no repeat left" )
+    SECTION( "with no retry left" )
     {
         profile.retries = 0;
     }
     SECTION( "with no memory for another group" ) {}
-    auto s = begun_answer( engines, profile, long_prompt, engine_memory );
-    auto const held = s.engines.reserved;
-    REQUIRE( held.size() > 1 );
+    auto fleet = started_answer( engines, profile, long_prompt, engine_memory );
+    auto const first_group = fleet.engines.reserved;
+    REQUIRE( first_group.size() > 1 );
     if ( profile.retries > 0 )
-        s.engines.refuses_memory = true;
-    s.time.advance( two_silences );
-    REQUIRE_FALSE( s.answer->end() );
-    CHECK( s.engines.reserved == held );
-    s.time.advance( 1min );
-    s.first_goes_on();
-    CHECK( s.answer->is_complete() );
-    s.time.advance( 1min );
-    CHECK( s.engines.reserved.empty() );
-    CHECK( s.counted_work() == 0 );
+        fleet.engines.refuses_memory = true;
+    fleet.time.advance( hedge_timeout );
+    REQUIRE_FALSE( fleet.answer->end() );
+    CHECK( fleet.engines.reserved == first_group );
+    fleet.time.advance( 1min );
+    fleet.complete_at_first_engine();
+    CHECK( fleet.answer->is_complete() );
+    fleet.time.advance( 1min );
+    CHECK( fleet.engines.reserved.empty() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "of a silent group and the one found instead, the first to speak "
-           "goes on",
+TEST_CASE( "of a silent group and its hedge, the first to deliver "
+           "continues",
            "[sessions][silence][spans]" )
 {
     constexpr auto engine_memory = 100'000;
-    auto s = begun_answer( 8, patient_profile(), long_prompt, engine_memory );
-    auto const first_group = s.engines.reserved;
-    auto const silent = s.stream( 0 ).engine;
-    s.engines.holds_fills = true;
-    s.time.advance( two_silences );
-    REQUIRE( s.engines.reserved.size() > first_group.size() );
-    REQUIRE_FALSE( s.engines.fills.empty() );
-    auto const read_all = [&]( core::result<void> const& status )
+    auto fleet =
+        started_answer( 8, patient_profile(), long_prompt, engine_memory );
+    auto const first_group = fleet.engines.reserved;
+    auto const silent_engine = fleet.stream( 0 ).engine;
+    fleet.engines.holds_fills = true;
+    fleet.time.advance( hedge_timeout );
+    REQUIRE( fleet.engines.reserved.size() > first_group.size() );
+    REQUIRE_FALSE( fleet.engines.fills.empty() );
+    auto const complete_fills = [&]( core::result<void> const& status )
     {
-        for ( auto const& each : std::vector( s.engines.fills ) )
+        for ( auto const& each : std::vector( fleet.engines.fills ) )
             each( status );
-        s.engines.fills.clear();
+        fleet.engines.fills.clear();
     };
 
-    SECTION( "the silent one, while the other reads" )
+    SECTION( "the silent group, during the prefill of the hedge" )
     {
-        s.first_goes_on();
-        read_all( core::success() );
-        CHECK( s.attempt( 2 ).empty() );
+        fleet.complete_at_first_engine();
+        complete_fills( core::success() );
+        CHECK( fleet.connections_of( 2 ).empty() );
     }
-    SECTION( "the silent one, since the other cannot read" )
+    SECTION( "the silent group, as the prefill of the hedge fails" )
     {
-        read_all( core::error{ error_code::connection_lost, "scripted" } );
-        CHECK_FALSE( s.answer->end() );
-        CHECK( s.engines.reserved == first_group );
-        s.first_goes_on();
+        complete_fills(
+            core::error{ error_code::connection_lost, "scripted" } );
+        CHECK_FALSE( fleet.answer->end() );
+        CHECK( fleet.engines.reserved == first_group );
+        fleet.complete_at_first_engine();
     }
-    SECTION( "the silent one, after the other has read" )
+    SECTION( "the silent group, after the prefill of the hedge" )
     {
-        read_all( core::success() );
-        REQUIRE( s.attempt( 2 ).size() == 1 );
-        CHECK( s.attempt( 2 ).front()->engine != silent );
-        s.first_goes_on();
-        CHECK( s.attempt( 2 ).front()->cancelled );
+        complete_fills( core::success() );
+        REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+        CHECK( fleet.connections_of( 2 ).front()->engine != silent_engine );
+        fleet.complete_at_first_engine();
+        CHECK( fleet.connections_of( 2 ).front()->cancelled );
     }
-    SECTION( "the other one" )
+    SECTION( "the hedge" )
     {
-        read_all( core::success() );
-        REQUIRE( s.attempt( 2 ).size() == 1 );
-        CHECK( s.engines.open_attempts() == 2 );
-        auto& second = *s.attempt( 2 ).front();
+        complete_fills( core::success() );
+        REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+        CHECK( fleet.engines.open_attempts() == 2 );
+        auto& second = *fleet.connections_of( 2 ).front();
         second.write( 1 );
-        CHECK( s.attempt( 1 ).back()->cancelled );
+        CHECK( fleet.connections_of( 1 ).back()->cancelled );
         for ( auto const& each : first_group )
-            CHECK_FALSE( s.engines.reserved.contains( each ) );
+            CHECK_FALSE( fleet.engines.reserved.contains( each ) );
         second.write( 2 );
         second.complete( 3 );
     }
-    SECTION( "the other one, after the silent one has broken" )
+    SECTION( "the hedge, after the silent group has failed" )
     {
-        for ( auto const& each : std::vector( s.engines.all ) )
+        for ( auto const& each : std::vector( fleet.engines.all ) )
             each->lose( error_code::connection_lost );
-        CHECK_FALSE( s.answer->end() );
-        read_all( core::success() );
-        REQUIRE( s.attempt( 2 ).size() == 1 );
-        auto& second = *s.attempt( 2 ).front();
+        CHECK_FALSE( fleet.answer->end() );
+        complete_fills( core::success() );
+        REQUIRE( fleet.connections_of( 2 ).size() == 1 );
+        auto& second = *fleet.connections_of( 2 ).front();
         second.write( 1 );
         second.write( 2 );
         second.complete( 3 );
     }
-    CHECK( s.answer->is_complete() );
-    CHECK( s.engines.reserved.empty() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( fleet.answer->is_complete() );
+    CHECK( fleet.engines.reserved.empty() );
+    CHECK( fleet.counted_work() == 0 );
 }
 
-TEST_CASE( "an answer that has begun waits for memory until its time is over",
+TEST_CASE( "a started answer waits for memory until its deadline",
            "[sessions][silence]" )
 {
     auto profile = patient_profile();
     profile.time_base = 2s;
     profile.time_per_1k_tokens = 0ms;
     profile.max_output = core::token_count( 100 );
-    auto s = begun_answer( 2, profile );
-    auto const first = s.stream( 0 ).engine;
+    auto fleet = started_answer( 2, profile );
+    auto const first = fleet.stream( 0 ).engine;
     auto const other = first == "a" ? "b" : "a";
-    s.say_memory( other, s.memory_tokens );
-    s.stream( 0 ).lose( error_code::failed );
-    REQUIRE( s.engines.all.size() == 1 );
-    // Less than the rest of the answer was predicted to take is left.
-    s.time.advance( 1'900ms );
-    REQUIRE_FALSE( s.answer->end() );
-
-    SECTION( "which comes free" )
+    fleet.say_memory( other, fleet.memory_tokens );
+    fleet.stream( 0 ).lose( error_code::failed );
+    REQUIRE( fleet.engines.all.size() == 1 );
+    // The time left is shorter than the predicted time for the rest of the
+    // answer.
+    fleet.time.advance( 1'900ms );
+    REQUIRE_FALSE( fleet.answer->end() );
+
+    SECTION( "which becomes free" )
     {
-        s.say_memory( other, 0 );
-        s.time.advance( 50ms );
-        REQUIRE( s.engines.all.size() == 2 );
-        s.stream( 1 ).write( 1 );
-        s.stream( 1 ).complete( 2 );
-        CHECK( s.answer->is_complete() );
+        fleet.say_memory( other, 0 );
+        fleet.time.advance( 50ms );
+        REQUIRE( fleet.engines.all.size() == 2 );
+        fleet.stream( 1 ).write( 1 );
+        fleet.stream( 1 ).complete( 2 );
+        CHECK( fleet.answer->is_complete() );
     }
-    SECTION( "which does not" )
+    SECTION( "which does not become free" )
     {
-        s.time.advance( 200ms );
-        CHECK( s.answer->end()->reason == "deadline" );
+        fleet.time.advance( 200ms );
+        CHECK( fleet.answer->end()->reason == "deadline" );
     }
 }
 
-TEST_CASE( "a request that an engine has begun is not told as not run",
+TEST_CASE( "a request that an engine has started is not reported as not run",
            "[sessions][silence]" )
 {
     auto profile = patient_profile();
     profile.retries = 0;
-    auto s = begun_answer( 1, profile );
-    s.stream( 0 ).lose( error_code::connection_lost );
-    REQUIRE( s.engines.all.size() == 2 );
-    REQUIRE( s.stream( 1 ).resumed );
-    s.stream( 1 ).lose(
+    auto fleet = started_answer( 1, profile );
+    fleet.stream( 0 ).lose( error_code::connection_lost );
+    REQUIRE( fleet.engines.all.size() == 2 );
+    REQUIRE( fleet.stream( 1 ).resumed );
+    fleet.stream( 1 ).lose(
         GENERATE( error_code::unreachable, error_code::refused ) );
-    REQUIRE( s.answer->end() );
-    CHECK( s.answer->end()->status == answer_status::failed );
-    CHECK( s.counted_work() == 0 );
+    REQUIRE( fleet.answer->end() );
+    CHECK( fleet.answer->end()->status == answer_status::failed );
+    CHECK( fleet.counted_work() == 0 );
 }
--- a/tests/sessions/span_group_test.cpp
+++ b/tests/sessions/span_group_test.cpp
@@ -18,7 +18,8 @@
 
 }
 
-TEST_CASE( "a prompt beyond one engine's memory is served whole", "[spans]" )
+TEST_CASE( "a prompt that exceeds the memory of one engine is answered whole",
+           "[spans]" )
 {
     auto fleet = test_fleet( 4, small_engine() );
     auto const prompt = make_prompt( 250'000 );
@@ -49,20 +50,20 @@
     CHECK( fleet.engines.memory_held() == 0 );
 }
 
-TEST_CASE( "a span group gives all memory back", "[spans]" )
+TEST_CASE( "a span group releases all memory", "[spans]" )
 {
     auto fleet = test_fleet( 4, small_engine() );
     auto const answer = fleet.send( 250'000, patient_profile() );
     fleet.engines.run_for( 300ms );
     REQUIRE( fleet.engines.memory_held() > 200'000 );
 
-    SECTION( "when the caller goes while the prompt is read" )
+    SECTION( "when the caller closes its connection during prefill" )
     {
         answer->gone = true;
         fleet.engines.run_for( 3s );
         CHECK( fleet.engines.memory_held() == 0 );
     }
-    SECTION( "when one of its engines dies, and goes on without it" )
+    SECTION( "when one of its engines dies, and the request is retried" )
     {
         fleet.engines.kill( "engine-1" );
         fleet.engines.revive( "engine-1" );
@@ -70,21 +71,22 @@
         CHECK( answer->is_complete() );
         CHECK( fleet.engines.memory_held() == 0 );
     }
-    SECTION( "by its time to live when the instance says nothing any more" )
+    SECTION( "by its time to live when the instance has died" )
     {
-        auto const late = ports::reservation_request{
+        auto const orphan = ports::reservation_request{
             core::reservation_id( "of the dead" ),
             { core::instance_id( "dead" ), core::incarnation( 1 ) },
             core::token_count( 10 ),
             10s };
         REQUIRE( fleet.engines.model( "engine-0" )
-                     .reserve( late, fleet.time.now() ) );
+                     .reserve( orphan, fleet.time.now() ) );
         fleet.engines.run_for( 20min );
         CHECK( fleet.engines.memory_held() == 0 );
     }
 }
 
-TEST_CASE( "a refused group says not run and holds nothing", "[spans]" )
+TEST_CASE( "a refused group is reported as not run and holds no memory",
+           "[spans]" )
 {
     auto fleet = test_fleet( 4, small_engine() );
     auto const blocker = ports::reservation_request{
@@ -106,7 +108,7 @@
     CHECK( fleet.engines.memory_held() == 270'000 );
 }
 
-TEST_CASE( "a target that leaves after a span was placed there finishes it",
+TEST_CASE( "a target that starts leaving finishes the spans placed on it",
            "[spans][routing]" )
 {
     auto fleet = test_fleet( 4, small_engine() );
@@ -121,18 +123,17 @@
     CHECK( answer->text() == expected_answer( prompt, 32 ) );
 }
 
-TEST_CASE( "groups of one request hold memory under names of their own",
-           "[spans]" )
+TEST_CASE( "groups of one request use distinct reservation ids", "[spans]" )
 {
-    // A release of the first group that comes late must not free the second.
-    auto s = scripted_fleet( 4, 100'000 );
-    s.engines.holds_fills = true;
-    s.send( 250'000, patient_profile() );
-    auto const first = s.engines.reserved;
+    // A late release of the first group must not free memory of the second.
+    auto fleet = scripted_fleet( 4, 100'000 );
+    fleet.engines.holds_fills = true;
+    fleet.send( 250'000, patient_profile() );
+    auto const first = fleet.engines.reserved;
     REQUIRE_FALSE( first.empty() );
-    for ( auto const& each : std::exchange( s.engines.fills, {} ) )
+    for ( auto const& each : std::exchange( fleet.engines.fills, {} ) )
         each( core::error{ core::error_code::failed, "scripted" } );
-    auto const second = s.engines.reserved;
+    auto const second = fleet.engines.reserved;
     REQUIRE_FALSE( second.empty() );
     for ( auto const& each : first )
         CHECK_FALSE( second.contains( each ) );
