--- a/src/pollenstream/sessions/gateway.hpp
+++ b/src/pollenstream/sessions/gateway.hpp
@@ -36,8 +36,8 @@
 struct entry_answer
 {
     std::vector<core::address> addresses; ///< preferred one first
-    core::duration cache_time{
-        0 }; ///< how long the caller may cache the addresses
+    /// How long the caller may cache the addresses.
+    core::duration cache_time{ 0 };
     /// Prefix of a ticket for a non-idempotent call; the caller appends its
     /// key.
     std::string ticket_prefix;
--- a/src/pollenstream/sessions/request.hpp
+++ b/src/pollenstream/sessions/request.hpp
@@ -19,8 +19,8 @@
     core::workspace_id workspace;
     std::shared_ptr<std::string const> prompt;
     std::optional<core::token_count> max_output; ///< default: the profile's
-    std::optional<core::duration>
-        time_limit; ///< may only shorten the profile's
+    /// Shortens the time limit of the profile; a longer one has no effect.
+    std::optional<core::duration> time_limit;
 };
 
 }
