--- a/src/pollenstream/sessions/session_attempts.cpp
+++ b/src/pollenstream/sessions/session_attempts.cpp
@@ -298,8 +298,8 @@
         end_attempt( silent_, true );
     }
     release_preparing();
-    // This is the first token of the attempt, though not always of the answer;
-    // it shows that the prefill has ended.
+    // The first token of an attempt, which need not be the first of the answer,
+    // shows that its prefill has ended.
     if ( std::exchange( current_->prefill_counted, false ) )
         current_->choice.chosen->end_prefill( current_->work );
 }
