--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -344,7 +344,7 @@
     call.pool = "peer " + better->ip;
     call.text =
         std::make_shared<std::string const>( adapters::asio::write_request(
-            "GET", peers::state_request( registry_.known_until() ),
+            "GET", peers::state_request_path( registry_.known_until() ),
             { { "Host", better->ip } }, "" ) );
     http_.fetch( std::move( call ), fetch_time,
                  [this, from = better->id]( auto reply )
--- a/src/pollenstream/peers/state_transfer.cpp
+++ b/src/pollenstream/peers/state_transfer.cpp
@@ -14,8 +14,9 @@
 
 using nlohmann::json;
 
-/// Values of the store have a megabyte at most, and few are large.
-constexpr auto largest_update = std::size_t{ 32 } * 1024 * 1024;
+/// Limits what a compressed update may expand to. A value in the store has at
+/// most one megabyte, and few values are large.
+constexpr auto max_update_bytes = std::size_t{ 32 } * 1024 * 1024;
 constexpr auto after_query = std::string_view( "?after=" );
 
 auto to_json( ports::record const& r ) -> json
@@ -40,19 +41,21 @@
 
 }
 
-auto state_request( ports::store_revision after ) -> std::string
+auto state_request_path( ports::store_revision after ) -> std::string
 {
     return std::string( state_path ) + std::string( after_query ) +
            std::to_string( after.count() );
 }
 
-auto requested_revision( std::string const& target ) -> ports::store_revision
+auto requested_revision( std::string const& request_target )
+    -> ports::store_revision
 {
-    auto const at = target.find( after_query );
+    auto const at = request_target.find( after_query );
     auto revision = std::int64_t{ 0 };
     if ( at != std::string::npos )
-        std::from_chars( target.data() + at + after_query.size(),
-                         target.data() + target.size(), revision );
+        std::from_chars( request_target.data() + at + after_query.size(),
+                         request_target.data() + request_target.size(),
+                         revision );
     return ports::store_revision( revision );
 }
 
@@ -72,12 +75,12 @@
 auto decode_update( std::string const& bytes )
     -> core::result<registry::record_update>
 {
-    auto const unpacked = decompress( bytes, largest_update );
-    if ( unpacked.has_error() )
-        return unpacked.error();
+    auto const decompressed = decompress( bytes, max_update_bytes );
+    if ( decompressed.has_error() )
+        return decompressed.error();
     try
     {
-        auto const object = json::from_cbor( unpacked.value() );
+        auto const object = json::from_cbor( decompressed.value() );
         auto update = registry::record_update{};
         update.from =
             ports::store_revision( object.at( 0 ).get<std::int64_t>() );
--- a/src/pollenstream/peers/state_transfer.hpp
+++ b/src/pollenstream/peers/state_transfer.hpp
@@ -9,17 +9,20 @@
 namespace pollenstream::peers
 {
 
-/// Path at which an instance gives its records to another one.
+/// Path at which an instance serves its records to other instances.
 inline constexpr auto state_path = "/v1/records";
 
-/// The request for all changes after `after`.
-auto state_request( ports::store_revision after ) -> std::string;
-/// The revision that `state_request` named; 0 where there is none.
-auto requested_revision( std::string const& target ) -> ports::store_revision;
+/// Path and query that request all changes after the revision `after`.
+auto state_request_path( ports::store_revision after ) -> std::string;
+/// The revision in the query of a request target that `state_request_path` has
+/// built; 0 if there is none.
+auto requested_revision( std::string const& request_target )
+    -> ports::store_revision;
 
-/// Changes that one instance tells another; CBOR, compressed.
+/// Encodes changes of records for another instance, as compressed CBOR.
 auto encode_update( registry::record_update const& update ) -> std::string;
-/// Error `malformed` for anything that `encode_update` cannot have written.
+/// Returns the error `malformed` for bytes that `encode_update` cannot have
+/// written.
 auto decode_update( std::string const& bytes )
     -> core::result<registry::record_update>;
 
--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -411,7 +411,7 @@
     REQUIRE( read.value().batch.records.size() == 2 );
     CHECK( read.value().batch.records[0].value == std::string( "\0\xff", 2 ) );
     CHECK_FALSE( read.value().batch.records[1].value );
-    CHECK( peers::requested_revision( peers::state_request(
+    CHECK( peers::requested_revision( peers::state_request_path(
                ports::store_revision( 41 ) ) ) == ports::store_revision( 41 ) );
     CHECK( peers::requested_revision( "/v1/records" ) ==
            ports::store_revision( 0 ) );
