--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -19,9 +19,9 @@
 quarantine::quarantine( exchange::exchange_context& context,
                         peer_group& group,
                         exchange::target_probe& probe,
-                        registry_state is_current )
+                        registry_check is_registry_current )
     : context_( context ), group_( group ), probe_( probe ),
-      is_current_( std::move( is_current ) )
+      is_registry_current_( std::move( is_registry_current ) )
 {
 }
 
@@ -29,69 +29,74 @@
 {
     context_.crashes.on_suspected = [this]( auto const& last )
     {
-        look_at( last );
+        probe_target( last );
     };
     context_.crashes.on_quarantined = [this]( auto content )
     {
-        new_.push_back( content );
-        // The request that found it out is in the middle of its own end.
-        if ( !take_call_ )
-            take_call_ = context_.scheduler.call_after( 0ms,
-                                                        [this]
-                                                        {
-                                                            take_new();
-                                                        } );
+        new_contents_.push_back( content );
+        // This can be called while a request for the content is ending, so
+        // that the requests are ended from a call of their own.
+        if ( !quarantine_call_ )
+            quarantine_call_ =
+                context_.scheduler.call_after( 0ms,
+                                               [this]
+                                               {
+                                                   quarantine_new();
+                                               } );
     };
     review();
 }
 
-/// A target that has ended refuses connections until it starts again, which
-/// takes seconds. Where it cannot be told the breaks are believed.
-auto quarantine::look_at( exchange::crashed_run const& last ) -> void
+/// A target that has ended refuses connections until it has started again,
+/// which takes seconds. The content is quarantined as well if its target is not
+/// known any more, or if the probe cannot tell.
+auto quarantine::probe_target( exchange::crashed_run const& last ) -> void
 {
     auto const at = context_.loads.find_lifetime( last.target );
     if ( !at || at->gone )
         return context_.crashes.prove( last.content );
-    probe_.probe( at->properties.address,
-                  [this, last, lives = std::weak_ptr( lives_ )]( auto listens )
-                  {
-                      if ( lives.expired() )
-                          return;
-                      if ( listens.value_or( false ) )
-                          context_.crashes.note_alive(
-                              last.target, context_.scheduler.now() );
-                      else
-                          context_.crashes.prove( last.content );
-                      context_.queue.poke();
-                  } );
+    probe_.probe(
+        at->properties.address,
+        [this, last, alive = std::weak_ptr( alive_token_ )]( auto listens )
+        {
+            if ( alive.expired() )
+                return;
+            if ( listens.value_or( false ) )
+                context_.crashes.note_alive( last.target,
+                                             context_.scheduler.now() );
+            else
+                context_.crashes.prove( last.content );
+            context_.queue.poke();
+        } );
 }
 
-auto quarantine::take_new() -> void
+auto quarantine::quarantine_new() -> void
 {
-    auto const done = std::move( take_call_ );
-    for ( auto const content : std::exchange( new_, {} ) )
-        hold( content );
+    auto const done = std::move( quarantine_call_ );
+    for ( auto const content : std::exchange( new_contents_, {} ) )
+        begin_quarantine( content );
 }
 
-auto quarantine::hold( exchange::content_id content ) -> void
+auto quarantine::begin_quarantine( exchange::content_id content ) -> void
 {
     auto targets = std::string{};
     for ( auto const& run : context_.crashes.crashes_of( content ) )
         targets += ( targets.empty() ? "" : "," ) + run.target.id.str();
-    note( content, "quarantined", "broke at " + targets );
-    held_.insert( content );
+    log_change( content, "quarantined", "attempts broke off at " + targets );
+    quarantined_.insert( content );
     group_.tell_quarantined( content );
     if ( on_changed )
         on_changed( content );
+    // A call of `on_quarantined` can end other exchanges.
     auto const open = std::vector( context_.open.begin(), context_.open.end() );
     for ( auto* const which : open )
         if ( context_.open.contains( which ) )
             which->on_quarantined( content );
 }
 
-auto quarantine::lift_cleared() -> void
+auto quarantine::lift_ended_quarantines() -> void
 {
-    for ( auto at = held_.begin(); at != held_.end(); )
+    for ( auto at = quarantined_.begin(); at != quarantined_.end(); )
     {
         auto const content = *at;
         if ( context_.crashes.is_quarantined( content ) )
@@ -99,8 +104,10 @@
             ++at;
             continue;
         }
-        at = held_.erase( at );
-        note( content, "lifted", "served, or its targets live" );
+        at = quarantined_.erase( at );
+        log_change(
+            content, "lifted",
+            "it was served, its targets are alive, or its crashes are old" );
         if ( on_changed )
             on_changed( content );
     }
@@ -114,23 +121,23 @@
                                                       review();
                                                   } );
     auto const is_listed =
-        [this, is_current = is_current_()]( auto const& target )
+        [this, is_current = is_registry_current_()]( auto const& target )
     {
         auto const at = context_.loads.find_lifetime( target );
         return is_current && at && !at->gone;
     };
     context_.crashes.review( context_.scheduler.now(), is_listed );
-    lift_cleared();
+    lift_ended_quarantines();
 }
 
-auto quarantine::note( exchange::content_id content,
-                       std::string now,
-                       std::string because ) -> void
+auto quarantine::log_change( exchange::content_id content,
+                             std::string state,
+                             std::string reason ) -> void
 {
     context_.log.record( exchange::state_change{ "content",
                                                  exchange::to_string( content ),
-                                                 std::move( now ),
-                                                 std::move( because ),
+                                                 std::move( state ),
+                                                 std::move( reason ),
                                                  {} } );
 }
 
