--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -534,10 +534,10 @@
     if ( message.complete )
         freed = take_open( message ) || freed;
     for ( auto const& f : message.failed )
-        load_table_.note_failure( f.target, now, f.how );
+        load_table_.note_failure( f.target, now, f.failure );
     for ( auto const& s : message.ejected )
         load_table_.eject( s.target,
-                           now + std::chrono::milliseconds( s.time_ms ) );
+                           now + std::chrono::milliseconds( s.duration_ms ) );
     if ( freed && on_load_changed )
         on_load_changed();
 }
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -167,12 +167,12 @@
     auto take_leaving( peer_message const& message ) -> void;
     auto take_limits( peer_message const& message ) -> void;
     [[nodiscard]] auto told( exchange::target_ref const& ref ) const
-        -> told_limit;
+        -> limit_update;
     auto tell_coordinators( exchange::target_ref const& ref ) -> void;
     auto add_limits( peer_message& message ) -> void;
     auto share_limits() -> void;
     [[nodiscard]] auto told( exchange::crashed_run const& what ) const
-        -> told_crash;
+        -> crash_update;
     auto add_target_news( peer_message& message ) -> void;
     auto take_placement_requests( peer_message& message ) -> void;
     auto take_work( peer_message const& message ) -> void;
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -71,13 +71,13 @@
     auto const now = scheduler_.now();
     auto limit = told( ref );
     for ( auto const at : load_table_.take_unreported( ref, now ) )
-        limit.sent_ages_ms.push_back( core::milliseconds_of( now - at ) );
+        limit.unreported_ages_ms.push_back( core::milliseconds_of( now - at ) );
     auto message = base_message();
     message.limits.push_back( std::move( limit ) );
     send_to_coordinators( message );
 }
 
-auto peer_group::told( exchange::target_ref const& ref ) const -> told_limit
+auto peer_group::told( exchange::target_ref const& ref ) const -> limit_update
 {
     auto const now = scheduler_.now();
     auto const held = load_table_.find_lifetime( ref )->limit.held();
@@ -105,10 +105,10 @@
     {
         auto const change = load_table_.note_limit(
             l.target,
-            { l.per_second, ago( l.sent_age_ms ), ago( l.heard_age_ms ) },
+            { l.per_second, ago( l.request_age_ms ), ago( l.answer_age_ms ) },
             now );
         auto times = std::vector<core::instant>{};
-        for ( auto const age : l.sent_ages_ms )
+        for ( auto const age : l.unreported_ages_ms )
             times.push_back( ago( age ) );
         load_table_.note_sent( l.target, times );
         if ( change == exchange::limit_change::none )
@@ -158,7 +158,7 @@
     arm_flush();
 }
 
-auto peer_group::told( exchange::crashed_run const& what ) const -> told_crash
+auto peer_group::told( exchange::crashed_run const& what ) const -> crash_update
 {
     return { what.content, what.target,
              core::milliseconds_of( scheduler_.now() - what.at ) };
--- a/src/pollenstream/peers/peer_message.cpp
+++ b/src/pollenstream/peers/peer_message.cpp
@@ -14,7 +14,8 @@
 
 using nlohmann::json;
 
-/// Raised with each change of the layout; others are passed over.
+/// Number of the message layout, to be raised with each change of it. Messages
+/// of another layout are ignored.
 constexpr auto layout = 9;
 
 auto ref_to_json( exchange::target_ref const& ref ) -> json
@@ -31,6 +32,7 @@
 auto parts_to_json( std::vector<exchange::work_part> const& all ) -> json
 {
     auto parts = json::array();
+    // Prefill times are sent in tenths of a millisecond.
     for ( auto const& part : all )
         parts.push_back(
             json::array( { part.target.str(),
@@ -50,11 +52,13 @@
     return parts;
 }
 
-/// An age; others' messages may say anything.
+/// Clamps an age to one hour, because a message from another instance can
+/// contain any number.
 auto age_ms_from_json( json const& number ) -> std::int64_t
 {
-    constexpr auto longest = std::int64_t{ 3'600'000 };
-    return std::clamp( number.get<std::int64_t>(), std::int64_t{ 0 }, longest );
+    constexpr auto max_age_ms = std::int64_t{ 3'600'000 };
+    return std::clamp( number.get<std::int64_t>(), std::int64_t{ 0 },
+                       max_age_ms );
 }
 
 auto ms_from_json( json const& number ) -> core::duration
@@ -90,11 +94,13 @@
     -> json
 {
     auto const& d = request.demand;
-    auto tried = json::array();
+    // The coordinator may choose neither kind of target, so that they share one
+    // list on the wire.
+    auto excluded = json::array();
     for ( auto const& id : d.tried )
-        tried.push_back( id.str() );
+        excluded.push_back( id.str() );
     for ( auto const& id : d.paused )
-        tried.push_back( id.str() );
+        excluded.push_back( id.str() );
     auto crashed_at = json::array();
     for ( auto const& target : request.crashed_at )
         crashed_at.push_back( ref_to_json( target ) );
@@ -106,7 +112,7 @@
                           core::milliseconds_of( d.waited ),
                           core::milliseconds_of( d.time_left ),
                           core::milliseconds_of( d.patience_left ),
-                          std::move( tried ), request.priority,
+                          std::move( excluded ), request.priority,
                           request.may_be_refused, request.content.count(),
                           std::move( crashed_at ) } );
 }
@@ -154,9 +160,9 @@
 {
     auto a = placement_answer{};
     a.serial = object.at( 0 ).get<std::uint64_t>();
-    a.decision = static_cast<ask_decision>(
+    a.decision = static_cast<placement_decision>(
         std::clamp( object.at( 1 ).get<int>(), 0,
-                    static_cast<int>( ask_decision::not_ready ) ) );
+                    static_cast<int>( placement_decision::not_ready ) ) );
     a.parts = parts_from_json( object.at( 2 ) );
     a.first_event_ms = object.at( 3 ).get<double>();
     a.needs_reservation = object.at( 4 ).get<bool>();
@@ -170,9 +176,9 @@
     return a;
 }
 
-auto ejected_to_json( ejected_target const& s ) -> json
+auto ejected_to_json( ejected_target const& e ) -> json
 {
-    return json::array( { ref_to_json( s.target ), s.time_ms } );
+    return json::array( { ref_to_json( e.target ), e.duration_ms } );
 }
 
 auto ejected_from_json( json const& object ) -> ejected_target
@@ -183,7 +189,7 @@
 
 auto failed_to_json( failed_target const& f ) -> json
 {
-    auto const turned_away = f.how == exchange::target_failure::turned_away;
+    auto const turned_away = f.failure == exchange::target_failure::turned_away;
     return json::array( { ref_to_json( f.target ), turned_away } );
 }
 
@@ -194,33 +200,33 @@
                                         : exchange::target_failure::failed };
 }
 
-auto limit_to_json( told_limit const& l ) -> json
+auto limit_to_json( limit_update const& l ) -> json
 {
     auto const rate = l.per_second ? json( *l.per_second ) : json();
-    return json::array( { ref_to_json( l.target ), rate, l.sent_age_ms,
-                          l.heard_age_ms, l.sent_ages_ms } );
+    return json::array( { ref_to_json( l.target ), rate, l.request_age_ms,
+                          l.answer_age_ms, l.unreported_ages_ms } );
 }
 
-auto limit_from_json( json const& object ) -> told_limit
+auto limit_from_json( json const& object ) -> limit_update
 {
-    auto limit = told_limit{};
+    auto limit = limit_update{};
     limit.target = ref_from_json( object.at( 0 ) );
     if ( auto const& rate = object.at( 1 ); !rate.is_null() )
         limit.per_second = rate.get<double>();
-    limit.sent_age_ms = age_ms_from_json( object.at( 2 ) );
-    limit.heard_age_ms = age_ms_from_json( object.at( 3 ) );
+    limit.request_age_ms = age_ms_from_json( object.at( 2 ) );
+    limit.answer_age_ms = age_ms_from_json( object.at( 3 ) );
     for ( auto const& age : object.at( 4 ) )
-        limit.sent_ages_ms.push_back( age_ms_from_json( age ) );
+        limit.unreported_ages_ms.push_back( age_ms_from_json( age ) );
     return limit;
 }
 
-auto crash_to_json( told_crash const& c ) -> json
+auto crash_to_json( crash_update const& c ) -> json
 {
     return json::array(
         { c.content.count(), ref_to_json( c.target ), c.age_ms } );
 }
 
-auto crash_from_json( json const& object ) -> told_crash
+auto crash_from_json( json const& object ) -> crash_update
 {
     return { exchange::content_id( object.at( 0 ).get<std::int64_t>() ),
              ref_from_json( object.at( 1 ) ),
@@ -249,23 +255,24 @@
 }
 
 template <typename T, typename Write>
-auto list_to_json( std::vector<T> const& all, Write write ) -> json
+auto list_to_json( std::vector<T> const& items, Write write ) -> json
 {
     auto array = json::array();
-    for ( auto const& one : all )
-        array.push_back( write( one ) );
+    for ( auto const& item : items )
+        array.push_back( write( item ) );
     return array;
 }
 
 template <typename T, typename Read>
-auto list_from_json( json const& array, std::vector<T>& all, Read read ) -> void
+auto list_from_json( json const& array, std::vector<T>& items, Read read )
+    -> void
 {
-    for ( auto const& one : array )
-        all.push_back( read( one ) );
+    for ( auto const& item : array )
+        items.push_back( read( item ) );
 }
 
-/// Lists that most messages leave empty, by the number under which they stand
-/// on the wire. Left out where they are empty: most messages have one of them.
+/// Numbers of the lists on the wire. Empty lists are left out, because most
+/// messages have only one that is not empty.
 enum list_number : std::uint8_t
 {
     list_work,
@@ -314,7 +321,7 @@
     return lists;
 }
 
-auto list_into( peer_message& m, list_number number, json const& list ) -> void
+auto read_list( peer_message& m, list_number number, json const& list ) -> void
 {
     using serials = std::vector<std::uint64_t>;
     switch ( number )
@@ -390,7 +397,7 @@
     m.store_served_ms = object.at( at++ ).get<std::int64_t>();
     m.store_age_ms = object.at( at++ ).get<std::int64_t>();
     for ( auto const& list : object.at( at++ ) )
-        list_into( m, list.at( 0 ).get<list_number>(), list.at( 1 ) );
+        read_list( m, list.at( 0 ).get<list_number>(), list.at( 1 ) );
     auto const& update = object.at( at++ ).get_binary();
     m.update.assign( update.begin(), update.end() );
     return m;
@@ -412,7 +419,7 @@
         auto const object = json::from_cbor( bytes );
         if ( !object.is_array() || object.at( 0 ) != layout )
             return core::error{ core::error_code::malformed,
-                                "other layout of peer message" };
+                                "peer message has another layout" };
         return from_json( object );
     }
     catch ( json::exception const& e )
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -98,7 +98,7 @@
     }
     auto on_granted( exchange::placement_grant grant ) -> void override
     {
-        answer_.decision = ask_decision::granted;
+        answer_.decision = placement_decision::granted;
         answer_.parts = std::move( grant.choice.parts );
         answer_.first_event_ms = grant.choice.first_event_ms;
         answer_.needs_reservation = grant.choice.needs_reservation;
@@ -108,20 +108,20 @@
     }
     auto on_refused( exchange::placement_refusal refusal ) -> void override
     {
-        answer_.decision = ask_decision::refused;
+        answer_.decision = placement_decision::refused;
         answer_.reason = std::move( refusal.reason );
         answer_.retry_after_ms = core::milliseconds_of( refusal.retry_after );
         transport_.send_answer( requester_, answer_ );
     }
     auto on_queued( std::size_t waiting ) -> void override
     {
-        answer_.decision = ask_decision::queued;
+        answer_.decision = placement_decision::queued;
         answer_.waiting = static_cast<std::int64_t>( waiting );
         transport_.send_answer( requester_, answer_ );
     }
     auto on_not_ready() -> void
     {
-        answer_.decision = ask_decision::not_ready;
+        answer_.decision = placement_decision::not_ready;
         transport_.send_answer( requester_, answer_ );
     }
 
@@ -326,7 +326,7 @@
     {
         // The same grant may come twice; one that nobody waits for is given
         // back.
-        if ( answer.decision == ask_decision::granted &&
+        if ( answer.decision == placement_decision::granted &&
              !granted_.contains( answer.serial ) )
             transport_.send_release( from, answer.serial );
         return;
@@ -334,20 +334,20 @@
     auto const which = found->second;
     switch ( answer.decision )
     {
-    case ask_decision::granted:
+    case placement_decision::granted:
         return grant( which, { answer.serial, choice_of( answer ), from,
                                answer.is_suspect } );
-    case ask_decision::refused:
+    case placement_decision::refused:
         close( which );
         return which->listener->on_refused(
             { answer.reason,
               std::chrono::milliseconds( answer.retry_after_ms ) } );
-    case ask_decision::queued:
+    case placement_decision::queued:
         which->is_answered = true;
         arm( which, repeat_time );
         return which->listener->on_queued(
             static_cast<std::size_t>( answer.waiting ) );
-    case ask_decision::not_ready:
+    case placement_decision::not_ready:
         return send_next( which );
     }
 }
--- a/tests/peers/placement_router_test.cpp
+++ b/tests/peers/placement_router_test.cpp
@@ -76,12 +76,12 @@
     /// `from` answers the ask `serial`.
     auto answer( std::string const& from,
                  std::uint64_t serial,
-                 peers::ask_decision decision ) -> void
+                 peers::placement_decision decision ) -> void
     {
         auto said = peers::placement_answer{};
         said.serial = serial;
         said.decision = decision;
-        if ( decision == peers::ask_decision::granted )
+        if ( decision == peers::placement_decision::granted )
             said.parts.push_back( { core::target_id( "m1" ), 20, 6'000 } );
         requester.on_answer( core::instance_id( from ), said );
     }
@@ -119,21 +119,21 @@
     auto f = router_fixture{};
     auto const open = f.request();
     REQUIRE( f.asked_last() == "c1" );
-    f.answer( "c1", 1, peers::ask_decision::granted );
+    f.answer( "c1", 1, peers::placement_decision::granted );
     REQUIRE( f.heard->grants.size() == 1 );
     CHECK( f.heard->grants[0].decided_by == core::instance_id( "c1" ) );
     CHECK( f.heard->grants[0].choice.targets[0]->properties.id ==
            core::target_id( "m1" ) );
     SECTION( "once, and one that comes twice is not given back" )
     {
-        f.answer( "c1", 1, peers::ask_decision::granted );
+        f.answer( "c1", 1, peers::placement_decision::granted );
         CHECK( f.heard->grants.size() == 1 );
         CHECK( f.transport.released.empty() );
     }
     SECTION( "after its work has ended it is" )
     {
         f.requester.release( 1 );
-        f.answer( "c1", 1, peers::ask_decision::granted );
+        f.answer( "c1", 1, peers::placement_decision::granted );
         CHECK( f.heard->grants.size() == 1 );
         CHECK( f.transport.released.size() == 1 );
     }
@@ -153,10 +153,10 @@
            60ms );
     SECTION( "and what it grants late is given back" )
     {
-        f.answer( "c1", 1, peers::ask_decision::granted );
+        f.answer( "c1", 1, peers::placement_decision::granted );
         CHECK( f.heard->grants.empty() );
         CHECK( f.transport.released.size() == 2 );
-        f.answer( "c2", f.serial_last(), peers::ask_decision::granted );
+        f.answer( "c2", f.serial_last(), peers::placement_decision::granted );
         CHECK( f.heard->grants.size() == 1 );
     }
     SECTION( "where none answers, this instance places by itself" )
@@ -180,7 +180,7 @@
     CHECK( f.asked_last() == "c2" );
     SECTION( "until it answers" )
     {
-        f.answer( "c1", 99, peers::ask_decision::queued );
+        f.answer( "c1", 99, peers::placement_decision::queued );
         auto const fourth = f.request();
         CHECK( f.asked_last() == "c1" );
     }
@@ -197,7 +197,7 @@
 {
     auto f = router_fixture{};
     auto const open = f.request();
-    f.answer( "c1", 1, peers::ask_decision::queued );
+    f.answer( "c1", 1, peers::placement_decision::queued );
     CHECK( f.heard->queued == 1 );
     f.scheduler.run( 240ms );
     CHECK( f.transport.placement_requests.size() == 1 );
@@ -231,7 +231,7 @@
     CHECK( f.transport.released.size() == 1 );
     f.scheduler.run( 1s );
     CHECK( f.transport.placement_requests.size() == 1 );
-    f.answer( "c1", 1, peers::ask_decision::granted );
+    f.answer( "c1", 1, peers::placement_decision::granted );
     CHECK( f.heard->grants.empty() );
     CHECK( f.transport.released.size() == 2 );
 }
@@ -240,7 +240,7 @@
 {
     auto f = router_fixture{};
     auto const open = f.request();
-    f.answer( "c1", 1, peers::ask_decision::not_ready );
+    f.answer( "c1", 1, peers::placement_decision::not_ready );
     CHECK( f.asked_last() == "c2" );
     SECTION( "as this instance says of itself without a configuration" )
     {
@@ -250,7 +250,7 @@
         f.requester.on_request( request );
         REQUIRE( f.transport.answers.size() == 1 );
         CHECK( f.transport.answers[0].decision ==
-               peers::ask_decision::not_ready );
+               peers::placement_decision::not_ready );
     }
 }
 
@@ -262,7 +262,8 @@
     request.requester = core::instance_id( "other" );
     f.requester.on_request( request );
     REQUIRE( f.transport.answers.size() == 1 );
-    CHECK( f.transport.answers[0].decision == peers::ask_decision::granted );
+    CHECK( f.transport.answers[0].decision ==
+           peers::placement_decision::granted );
     CHECK( f.loads.works_of( core::instance_id( "other" ), f.scheduler.now() )
                .size() == 1 );
     f.requester.on_released( core::instance_id( "other" ), 1 );
