--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -170,12 +170,13 @@
     };
     auto const& asked = router.counters();
     count( "pollenstream_asks_total", "{to=\"others\"}",
-           asked.asked_others.value() );
+           asked.sent_to_others.value() );
     count( "pollenstream_asks_total", "{to=\"self\"}",
-           asked.asked_self.value() );
+           asked.sent_to_self.value() );
     count( "pollenstream_asks_not_answered_total", "",
-           asked.asked_next.value() );
-    count( "pollenstream_own_choices_total", "", asked.own_choice.value() );
+           asked.sent_to_next.value() );
+    count( "pollenstream_own_choices_total", "",
+           asked.uncoordinated_choices.value() );
     auto const& decided = coordinator.counters();
     count( "pollenstream_decisions_total", "{decision=\"granted\"}",
            decided.granted.value() );
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -494,7 +494,7 @@
     for ( auto const& work : message.work )
         open.insert( work.serial );
     if ( handler_ != nullptr )
-        handler_->on_open( message.sender, open );
+        handler_->on_open_serials( message.sender, open );
     auto freed = false;
     for ( auto const& work :
           load_table_.works_of( message.sender, scheduler_.now() ) )
--- a/src/pollenstream/peers/placement_router.cpp
+++ b/src/pollenstream/peers/placement_router.cpp
@@ -12,18 +12,21 @@
 
 using namespace std::chrono_literals;
 
-/// An instance that has not answered after this time is asked no longer: some
-/// ten ways there and back between places, and the time in which a small
-/// machine gets its share of a processor. Short prompts have 300 ms in all.
-constexpr auto answer_time = core::duration( 60ms );
-/// An ask that waits is repeated this often: the answer may have been lost, or
-/// the instance that holds it.
-constexpr auto repeat_time = core::duration( 250ms );
-/// Answers missed in a row from which an instance is not asked for a time. One
-/// may be a lost datagram; more are an instance that is lost, frozen, or has
-/// more to answer than it can, which asking it again would prolong.
-constexpr auto misses_to_suspect = 2;
-constexpr auto suspect_time = core::duration( 1s );
+/// A coordinator that has not answered after this time is given up for the next
+/// one. It covers about ten round trips between data centres, and the wait of a
+/// small machine for its next share of a CPU. The whole latency objective of
+/// short prompts is 300 ms.
+constexpr auto answer_timeout = core::duration( 60ms );
+/// A queued placement request is sent again this long after each answer,
+/// because a later answer, or the coordinator that holds the request, may have
+/// been lost.
+constexpr auto resend_delay = core::duration( 250ms );
+/// Timeouts in a row after which a coordinator is skipped for `skip_time`. A
+/// single timeout may be a lost datagram. More of them mean that the
+/// coordinator is lost, frozen or overloaded, and requests would prolong an
+/// overload.
+constexpr auto timeouts_to_skip = 2;
+constexpr auto skip_time = core::duration( 1s );
 
 }
 
@@ -31,38 +34,41 @@
 {
     exchange::placement_request request;
     std::shared_ptr<exchange::placement_listener> listener;
-    core::instant made_at;
-    core::instance_id asked;
-    std::set<core::instance_id> tried;
-    bool is_open{ true };
-    bool is_answered{ false }; ///< by `asked`, since it was last sent
+    core::instant demand_at;   ///< time for which the demand is correct
+    core::instance_id sent_to; ///< the coordinator that has it now
+    std::set<core::instance_id> tried_coordinators;
+    bool is_open{ true }; ///< neither decided nor withdrawn
+    /// Set when `sent_to` answers that the request is queued, until it is sent
+    /// again.
+    bool is_queued{ false };
     std::unique_ptr<ports::scheduled_call> timer;
 };
 
-class placement_router::handle : public exchange::open_placement
+/// Withdraws the placement request when it is destroyed.
+class placement_router::request_handle : public exchange::open_placement
 {
 public:
-    handle( placement_router& owner, pending_ptr which )
+    request_handle( placement_router& owner, pending_ptr which )
         : owner_( owner ), which_( std::move( which ) )
     {
     }
-    ~handle() override
+    ~request_handle() override
     {
         owner_.withdraw( which_ );
     }
-    handle( handle const& ) = delete;
-    auto operator=( handle const& ) -> handle& = delete;
+    request_handle( request_handle const& ) = delete;
+    auto operator=( request_handle const& ) -> request_handle& = delete;
 
 private:
     placement_router& owner_;
     pending_ptr which_;
 };
 
-/// Answers of this instance's own coordinator.
-class placement_router::local_answer : public exchange::placement_listener
+/// Passes on the answers of this instance's own coordinator.
+class placement_router::local_listener : public exchange::placement_listener
 {
 public:
-    local_answer( placement_router& owner, pending_ptr which )
+    local_listener( placement_router& owner, pending_ptr which )
         : owner_( owner ), which_( std::move( which ) )
     {
     }
@@ -85,13 +91,13 @@
     pending_ptr which_;
 };
 
-/// Sends the answers of this instance's coordinator to an asker.
-class placement_router::remote_answer : public exchange::placement_listener
+/// Sends the answers of this instance's coordinator to another instance.
+class placement_router::remote_listener : public exchange::placement_listener
 {
 public:
-    remote_answer( placement_transport& transport,
-                   core::instance_id requester,
-                   std::uint64_t serial )
+    remote_listener( placement_transport& transport,
+                     core::instance_id requester,
+                     std::uint64_t serial )
         : transport_( transport ), requester_( std::move( requester ) )
     {
         answer_.serial = serial;
@@ -154,32 +160,32 @@
     auto const which = std::make_shared<pending>();
     which->request = std::move( what );
     which->listener = std::move( listener );
-    which->made_at = scheduler_.now();
+    which->demand_at = scheduler_.now();
     pending_.emplace( which->request.serial, which );
     send( which );
-    return std::make_unique<handle>( *this, which );
+    return std::make_unique<request_handle>( *this, which );
 }
 
-auto placement_router::is_suspect( core::instance_id const& id ) const -> bool
+auto placement_router::is_skipped( core::instance_id const& id ) const -> bool
 {
-    auto const found = silences_.find( id );
-    return found != silences_.end() &&
-           found->second.misses >= misses_to_suspect &&
-           scheduler_.now() < found->second.until;
+    auto const found = unanswered_.find( id );
+    return found != unanswered_.end() &&
+           found->second.timeouts >= timeouts_to_skip &&
+           scheduler_.now() < found->second.skip_until;
 }
 
-auto placement_router::note_miss( core::instance_id const& id ) -> void
+auto placement_router::note_timeout( core::instance_id const& id ) -> void
 {
-    auto& silence = silences_[id];
-    ++silence.misses;
-    silence.until = scheduler_.now() + suspect_time;
+    auto& entry = unanswered_[id];
+    ++entry.timeouts;
+    entry.skip_until = scheduler_.now() + skip_time;
 }
 
 auto placement_router::next_coordinator( pending const& which ) const
     -> std::optional<core::instance_id>
 {
     for ( auto const& id : transport_.coordinators() )
-        if ( !which.tried.contains( id ) && !is_suspect( id ) )
+        if ( !which.tried_coordinators.contains( id ) && !is_skipped( id ) )
             return id;
     return std::nullopt;
 }
@@ -190,70 +196,75 @@
     which->request.demand.limits = next ? exchange::limit_use::for_all
                                         : exchange::limit_use::uncoordinated;
     if ( !next )
-        counters_.own_choice.add();
+        counters_.uncoordinated_choices.add();
     if ( !next || *next == self_ )
-        return send_local( which );
-    which->asked = *next;
-    which->tried.insert( *next );
-    which->is_answered = false;
-    counters_.asked_others.add();
+        return send_to_own_coordinator( which );
+    which->sent_to = *next;
+    which->tried_coordinators.insert( *next );
+    which->is_queued = false;
+    counters_.sent_to_others.add();
     transport_.send_request( *next, which->request );
-    arm( which, answer_time );
+    arm_timer( which, answer_timeout );
 }
 
-auto placement_router::send_local( pending_ptr const& which ) -> void
+auto placement_router::send_to_own_coordinator( pending_ptr const& which )
+    -> void
 {
-    which->asked = self_;
+    which->sent_to = self_;
     which->timer.reset();
-    counters_.asked_self.add();
+    counters_.sent_to_self.add();
     coordinator_.request( which->request,
-                          std::make_shared<local_answer>( *this, which ) );
+                          std::make_shared<local_listener>( *this, which ) );
 }
 
-/// Asks another one under a new serial: the one before may grant the old one
-/// all the same, and that grant has to be told apart.
-auto placement_router::send_next( pending_ptr const& which ) -> void
+/// Sends the placement request to the next coordinator under a new serial. The
+/// coordinator before may still grant the old serial, and that grant must not
+/// be taken for one of the new coordinator.
+auto placement_router::send_to_next_coordinator( pending_ptr const& which )
+    -> void
 {
-    counters_.asked_next.add();
-    transport_.send_release( which->asked, which->request.serial );
+    counters_.sent_to_next.add();
+    transport_.send_release( which->sent_to, which->request.serial );
     pending_.erase( which->request.serial );
     which->request.serial = next_serial_();
     pending_.emplace( which->request.serial, which );
     auto const now = scheduler_.now();
     auto& demand = which->request.demand;
-    auto const since = now - std::exchange( which->made_at, now );
-    demand.waited += since;
-    demand.time_left -= since;
-    demand.patience_left -= since;
+    auto const elapsed = now - std::exchange( which->demand_at, now );
+    demand.waited += elapsed;
+    demand.time_left -= elapsed;
+    demand.patience_left -= elapsed;
     send( which );
 }
 
-auto placement_router::arm( pending_ptr const& which, core::duration delay )
-    -> void
+auto placement_router::arm_timer( pending_ptr const& which,
+                                  core::duration delay ) -> void
 {
     which->timer = scheduler_.call_after( delay,
                                           [this, weak = std::weak_ptr( which )]
                                           {
-                                              auto const still = weak.lock();
-                                              if ( still && still->is_open )
-                                                  on_timer( still );
+                                              auto const alive = weak.lock();
+                                              if ( alive && alive->is_open )
+                                                  on_timer( alive );
                                           } );
 }
 
 auto placement_router::on_timer( pending_ptr const& which ) -> void
 {
     auto const done = std::move( which->timer );
-    if ( which->is_answered )
+    if ( which->is_queued )
     {
-        which->is_answered = false;
-        transport_.send_request( which->asked, which->request );
-        return arm( which, answer_time );
+        // The request is sent to the same coordinator again.
+        which->is_queued = false;
+        transport_.send_request( which->sent_to, which->request );
+        return arm_timer( which, answer_timeout );
     }
-    note_miss( which->asked );
-    send_next( which );
+    note_timeout( which->sent_to );
+    send_to_next_coordinator( which );
 }
 
-/// The ask is decided or withdrawn: nothing is awaited for it any more.
+/// Stops waiting for answers, when the placement request is decided or
+/// withdrawn.
 auto placement_router::close( pending_ptr const& which ) -> void
 {
     which->is_open = false;
@@ -266,10 +277,10 @@
     if ( !which->is_open )
         return;
     close( which );
-    if ( which->asked == self_ )
+    if ( which->sent_to == self_ )
         coordinator_.release( self_, which->request.serial );
     else
-        transport_.send_release( which->asked, which->request.serial );
+        transport_.send_release( which->sent_to, which->request.serial );
 }
 
 auto placement_router::grant( pending_ptr const& which,
@@ -283,8 +294,8 @@
 
 auto placement_router::is_active_coordinator() const -> bool
 {
-    auto const in_order = transport_.coordinators();
-    return !in_order.empty() && in_order.front() == self_;
+    auto const all = transport_.coordinators();
+    return !all.empty() && all.front() == self_;
 }
 
 auto placement_router::release( std::uint64_t serial ) -> void
@@ -295,7 +306,7 @@
 
 auto placement_router::on_request( exchange::placement_request request ) -> void
 {
-    auto const answer = std::make_shared<remote_answer>(
+    auto const answer = std::make_shared<remote_listener>(
         transport_, request.requester, request.serial );
     if ( coordinator_.knows( request.demand.service ) )
         coordinator_.request( std::move( request ), answer );
@@ -320,12 +331,12 @@
 auto placement_router::on_answer( core::instance_id const& from,
                                   placement_answer const& answer ) -> void
 {
-    silences_.erase( from );
+    unanswered_.erase( from );
     auto const found = pending_.find( answer.serial );
-    if ( found == pending_.end() || found->second->asked != from )
+    if ( found == pending_.end() || found->second->sent_to != from )
     {
-        // The same grant may come twice; one that nobody waits for is given
-        // back.
+        // A grant that no request waits for is given back, unless it is a
+        // duplicate of one that was taken.
         if ( answer.decision == placement_decision::granted &&
              !granted_.contains( answer.serial ) )
             transport_.send_release( from, answer.serial );
@@ -343,12 +354,12 @@
             { answer.reason,
               std::chrono::milliseconds( answer.retry_after_ms ) } );
     case placement_decision::queued:
-        which->is_answered = true;
-        arm( which, repeat_time );
+        which->is_queued = true;
+        arm_timer( which, resend_delay );
         return which->listener->on_queued(
             static_cast<std::size_t>( answer.waiting ) );
     case placement_decision::not_ready:
-        return send_next( which );
+        return send_to_next_coordinator( which );
     }
 }
 
@@ -358,8 +369,9 @@
     coordinator_.release( from, serial );
 }
 
-auto placement_router::on_open( core::instance_id const& from,
-                                std::set<std::uint64_t> const& serials ) -> void
+auto placement_router::on_open_serials( core::instance_id const& from,
+                                        std::set<std::uint64_t> const& serials )
+    -> void
 {
     coordinator_.keep_only( from, serials );
 }
@@ -367,14 +379,14 @@
 auto placement_router::on_lost( core::instance_id const& which ) -> void
 {
     coordinator_.forget( which );
-    silences_.erase( which );
-    auto asked_there = std::vector<pending_ptr>{};
+    unanswered_.erase( which );
+    auto sent_there = std::vector<pending_ptr>{};
     for ( auto const& [serial, p] : pending_ )
-        if ( p->asked == which )
-            asked_there.push_back( p );
-    for ( auto const& p : asked_there )
+        if ( p->sent_to == which )
+            sent_there.push_back( p );
+    for ( auto const& p : sent_there )
         if ( p->is_open )
-            send_next( p );
+            send_to_next_coordinator( p );
 }
 
 auto placement_router::undecided() const -> std::vector<std::uint64_t>
--- a/src/pollenstream/peers/placement_router.hpp
+++ b/src/pollenstream/peers/placement_router.hpp
@@ -19,23 +19,23 @@
 namespace pollenstream::peers
 {
 
-/// Counts of one instance's asks.
+/// Counts of one instance's placement requests.
 struct router_counters
 {
-    core::counter asked_others;
-    core::counter asked_self;
-    core::counter asked_next; ///< the one before did not answer
-    core::counter own_choice; ///< nobody answered
+    core::counter sent_to_others; ///< to coordinators on other instances
+    core::counter sent_to_self;   ///< to this instance's own coordinator
+    core::counter sent_to_next;   ///< the coordinator before did not decide it
+    core::counter uncoordinated_choices; ///< no coordinator was left to ask
 };
 
-/// Asks one of the coordinators for targets, the next one where that does not
-/// answer, and this instance's own where none does: no request is refused
-/// because a coordinator is silent.
+/// Sends each placement request to one of the coordinators, to the next one if
+/// that does not answer, and to this instance's own coordinator if none
+/// answers. No request is refused because coordinators do not answer.
 class placement_router : public exchange::placement_client,
                          public placement_handler
 {
 public:
-    /// `next_serial` gives out serials of this instance's work.
+    /// `next_serial` returns a new serial for work of this instance.
     placement_router( core::instance_id self,
                       ports::scheduler& scheduler,
                       placement_transport& transport,
@@ -57,8 +57,9 @@
                     placement_answer const& answer ) -> void override;
     auto on_released( core::instance_id const& from, std::uint64_t serial )
         -> void override;
-    auto on_open( core::instance_id const& from,
-                  std::set<std::uint64_t> const& serials ) -> void override;
+    auto on_open_serials( core::instance_id const& from,
+                          std::set<std::uint64_t> const& serials )
+        -> void override;
     auto on_lost( core::instance_id const& which ) -> void override;
     [[nodiscard]] auto undecided() const -> std::vector<std::uint64_t> override;
 
@@ -69,26 +70,26 @@
 
 private:
     struct pending;
-    class handle;
-    class local_answer;
-    class remote_answer;
+    class request_handle;
+    class local_listener;
+    class remote_listener;
     using pending_ptr = std::shared_ptr<pending>;
 
-    /// An instance that did not answer lately.
-    struct silence
+    /// A coordinator that has not answered in time.
+    struct unanswered
     {
-        int misses{ 0 };
-        core::instant until; ///< not asked until then
+        int timeouts{ 0 }; ///< since its last answer
+        core::instant skip_until;
     };
 
     auto send( pending_ptr const& which ) -> void;
-    auto send_local( pending_ptr const& which ) -> void;
-    auto send_next( pending_ptr const& which ) -> void;
+    auto send_to_own_coordinator( pending_ptr const& which ) -> void;
+    auto send_to_next_coordinator( pending_ptr const& which ) -> void;
     auto next_coordinator( pending const& which ) const
         -> std::optional<core::instance_id>;
-    [[nodiscard]] auto is_suspect( core::instance_id const& id ) const -> bool;
-    auto note_miss( core::instance_id const& id ) -> void;
-    auto arm( pending_ptr const& which, core::duration delay ) -> void;
+    [[nodiscard]] auto is_skipped( core::instance_id const& id ) const -> bool;
+    auto note_timeout( core::instance_id const& id ) -> void;
+    auto arm_timer( pending_ptr const& which, core::duration delay ) -> void;
     auto on_timer( pending_ptr const& which ) -> void;
     auto close( pending_ptr const& which ) -> void;
     auto withdraw( pending_ptr const& which ) -> void;
@@ -104,8 +105,8 @@
     exchange::load_table const& load_table_;
     std::function<std::uint64_t()> next_serial_;
     std::map<std::uint64_t, pending_ptr> pending_;
-    std::set<std::uint64_t> granted_; ///< whose work has not ended
-    std::map<core::instance_id, silence> silences_;
+    std::set<std::uint64_t> granted_; ///< serials whose work has not ended
+    std::map<core::instance_id, unanswered> unanswered_;
     router_counters counters_;
 };
 
