--- a/src/pollenstream/peers/caller_directory.hpp
+++ b/src/pollenstream/peers/caller_directory.hpp
@@ -9,14 +9,15 @@
 namespace pollenstream::peers
 {
 
-/// Addresses that one answer of the directory names at most.
-inline constexpr auto most_directory_addresses = std::size_t{ 64 };
+/// Maximum number of addresses in one answer of the directory.
+inline constexpr auto max_directory_addresses = std::size_t{ 64 };
 
-/// Where callers should connect: all instances that say that they are ready
-/// and were heard lately, this one too where `self_ready`. Never empty while
-/// this instance serves; callers count an empty answer as a failure.
+/// Addresses at which callers can connect: those of all instances that are
+/// alive, ready and not leaving, including this one if `self_ready`. Never
+/// empty while this instance is ready: callers treat an empty answer as a
+/// failure.
 auto choose_caller_addresses( peer_group const& group,
-                              std::string const& own_callers,
+                              std::string const& own_caller_address,
                               bool self_ready ) -> std::vector<std::string>;
 
 }
--- a/src/pollenstream/peers/compression.hpp
+++ b/src/pollenstream/peers/compression.hpp
@@ -9,12 +9,14 @@
 namespace pollenstream::peers
 {
 
-/// `bytes` in zlib's format. A configuration shrinks to about a fifth.
+/// Compresses `bytes` into zlib's format. A configuration shrinks to about a
+/// fifth of its size.
 auto compress( std::string_view bytes ) -> std::string;
 
-/// What `compress` was given. Error `malformed` for anything else, and
-/// `too_large` for more than `most` bytes.
-auto decompress( std::string_view bytes, std::size_t most )
+/// Restores what `compress` was given. Returns the error `malformed` for input
+/// that is not zlib data or is cut short, and `too_large` if the output exceeds
+/// `max_bytes`.
+auto decompress( std::string_view bytes, std::size_t max_bytes )
     -> core::result<std::string>;
 
 }
