--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -54,14 +54,14 @@
 {
     auto list = json::array();
     for ( auto const& [id, p] : group.peers() )
-        list.push_back(
-            { { "id", id.str() },
-              { "ip", p.ip },
-              { "alive", p.alive },
-              { "ready", p.ready },
-              { "leaving", p.leaving },
-              { "known_until", p.known_until.count() },
-              { "heard_ms_ago", core::milliseconds_of( now - p.heard ) } } );
+        list.push_back( { { "id", id.str() },
+                          { "ip", p.ip },
+                          { "alive", p.alive },
+                          { "ready", p.ready },
+                          { "leaving", p.leaving },
+                          { "known_until", p.known_until.count() },
+                          { "heard_ms_ago",
+                            core::milliseconds_of( now - p.last_heard ) } } );
     return list;
 }
 
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -126,7 +126,7 @@
     message.uptime_ms = core::milliseconds_of( now - p.started );
     message.ready = p.ready;
     message.leaving = p.leaving;
-    message.store_age_ms = core::milliseconds_of( now - p.store_answered );
+    message.store_age_ms = core::milliseconds_of( now - p.store_answered_at );
     return message;
 }
 
@@ -179,7 +179,7 @@
     auto const now = scheduler_.now();
     if ( !table_.is_coordinator( now ) )
         return std::nullopt;
-    return table_.number_before( now );
+    return table_.own_position( now );
 }
 
 auto peer_group::send_request( core::instance_id const& to,
@@ -381,7 +381,7 @@
 auto peer_group::check_silent() -> void
 {
     auto const now = scheduler_.now();
-    auto const silent = table_.find_silent( now, beat_period() );
+    auto const silent = table_.detect_silent_peers( now, beat_period() );
     auto message = base_message();
     for ( auto const& id : silent )
     {
@@ -390,7 +390,7 @@
     }
     if ( !silent.empty() && table_.is_coordinator( now ) )
         send_to_all( message );
-    if ( table_.forget( now ) && on_size_changed )
+    if ( table_.remove_long_silent( now ) && on_size_changed )
         on_size_changed();
     std::erase_if( extra_ips_,
                    [now]( auto const& entry )
@@ -402,9 +402,9 @@
 auto peer_group::note( peer const& which, std::string now, std::string because )
     -> void
 {
-    log_.record( exchange::state_change{ "peer", which.id.str(),
-                                         std::move( now ), std::move( because ),
-                                         scheduler_.now() - which.heard } );
+    log_.record( exchange::state_change{
+        "peer", which.id.str(), std::move( now ), std::move( because ),
+        scheduler_.now() - which.last_heard } );
 }
 
 auto peer_group::on_datagram( std::string_view bytes ) -> void
@@ -429,8 +429,8 @@
 auto peer_group::take_sender( peer_message const& message ) -> bool
 {
     auto const now = scheduler_.now();
-    auto const change = table_.take( message, now );
-    if ( change.is_former )
+    auto const change = table_.apply_message( message, now );
+    if ( change.is_stale )
         return false;
     auto const& p = *table_.find( message.sender );
     if ( change.is_restarted )
@@ -440,9 +440,9 @@
             handler_->on_lost( message.sender );
     }
     extra_ips_.erase( p.ip );
-    if ( change.is_new || change.is_back )
+    if ( change.is_new || change.has_recovered )
         note( p, "alive", "heard" );
-    if ( change.begins_to_leave )
+    if ( change.starts_leaving )
     {
         note( p, "leaving", "it said so" );
         if ( handler_ != nullptr )
@@ -452,12 +452,12 @@
         add_ip( ip );
     if ( change.is_new && on_size_changed )
         on_size_changed();
-    if ( change.is_new || change.is_back || change.begins_to_leave )
+    if ( change.is_new || change.has_recovered || change.starts_leaving )
         share_limits();
     // It has to know of this instance; where it places prompts, of its work.
     if ( change.is_new || change.is_restarted )
         send( p.ip, encode( complete_message() ) );
-    if ( change.is_back && table_.is_coordinator( now ) )
+    if ( change.has_recovered && table_.is_coordinator( now ) )
         send_to_all( relay_of( p ) );
     return true;
 }
@@ -468,7 +468,7 @@
     {
         if ( which.id == self_.id )
             send_to_peer( message.sender, complete_message() );
-        else if ( table_.take_silence( which, scheduler_.now() ) )
+        else if ( table_.apply_silent_report( which, scheduler_.now() ) )
             lose( which.id, "not heard by " + message.sender.str() );
     }
 }
--- a/src/pollenstream/peers/peer_group_store.cpp
+++ b/src/pollenstream/peers/peer_group_store.cpp
@@ -52,8 +52,8 @@
 {
     auto longest = core::duration( 0 );
     for ( auto const& [id, p] : table_.all() )
-        if ( p.alive && scheduler_.now() - p.store_answered < stale_store )
-            longest = std::max( longest, p.store_served );
+        if ( p.alive && scheduler_.now() - p.store_answered_at < stale_store )
+            longest = std::max( longest, p.store_served_for );
     return longest;
 }
 
@@ -70,14 +70,14 @@
     auto const up_time = now - started_;
     if ( up_time < time_to_settle() )
         return false;
-    auto const before = table_.number_before( now );
+    auto const before = table_.own_position( now );
     constexpr auto readers = peer_table::number_of_coordinators;
     if ( before < readers )
         return true;
     auto const turn = before - readers;
     auto const quick = std::min( turn, quick_turns );
     auto const wait = turn_time * quick + slow_turn_time * ( turn - quick );
-    auto const silence = std::min( table_.youngest_answer( now ), up_time );
+    auto const silence = std::min( table_.min_store_age( now ), up_time );
     return silence > stale_store + wait;
 }
 
--- a/src/pollenstream/peers/peer_table.cpp
+++ b/src/pollenstream/peers/peer_table.cpp
@@ -12,19 +12,22 @@
 
 using namespace std::chrono_literals;
 
-/// Time from its start in which an instance is young: all have then told it of
-/// their work.
-constexpr auto young_time = core::duration( 1s );
-/// Messages that may be missed before an instance is left out.
-constexpr auto beats_to_silence = 4;
-/// The same for those who tell of themselves in turn.
-constexpr auto rounds_to_silence = 3;
-constexpr auto round_per_peer = core::duration( 200ms );
-/// One that was heard directly within this time is not taken for silent because
-/// another one has not heard it.
-constexpr auto heard_lately = core::duration( 500ms );
-/// An instance that was not heard for this long shares no budget any more.
-constexpr auto forget_time = core::duration( 30s );
+/// Time after its start for which an instance ranks behind all others. By its
+/// end the others have sent it their open work.
+constexpr auto warm_up_time = core::duration( 1s );
+/// Missed heartbeats after which a peer is silent, if it or this instance is a
+/// coordinator.
+constexpr auto max_missed_heartbeats = 4;
+/// Missed rounds after which a peer is silent otherwise: non-coordinators send
+/// to each other only once in a round.
+constexpr auto max_missed_rounds = 3;
+constexpr auto round_time_per_peer = core::duration( 200ms );
+/// A peer that was heard directly within this time is not marked as silent on
+/// the report of another instance.
+constexpr auto direct_contact_time = core::duration( 500ms );
+/// A silent peer is removed this long after it was last heard, and then no
+/// longer counts in the division of limits among instances.
+constexpr auto removal_time = core::duration( 30s );
 
 }
 
@@ -34,19 +37,19 @@
 {
 }
 
-auto peer_table::take( peer_message const& message, core::instant now )
+auto peer_table::apply_message( peer_message const& message, core::instant now )
     -> peer_change
 {
     auto change = peer_change{};
     auto [at, is_new] = peers_.try_emplace( message.sender );
     auto& p = at->second;
-    change.is_former = !is_new && message.incarnation < p.incarnation;
-    if ( change.is_former )
+    change.is_stale = !is_new && message.incarnation < p.incarnation;
+    if ( change.is_stale )
         return change;
     change.is_new = is_new;
     change.is_restarted = !is_new && message.incarnation > p.incarnation;
-    change.is_back = !is_new && !p.alive;
-    change.begins_to_leave = message.leaving && !p.leaving;
+    change.has_recovered = !is_new && !p.alive;
+    change.starts_leaving = message.leaving && !p.leaving;
     if ( is_new )
         p.rank = core::stable_hash( message.sender.str() );
     if ( is_new || change.is_restarted )
@@ -57,27 +60,27 @@
     p.data_centre = message.data_centre;
     p.callers = message.callers;
     p.known_until = std::max( p.known_until, message.known_until );
-    p.store_served = std::chrono::milliseconds( message.store_served_ms );
+    p.store_served_for = std::chrono::milliseconds( message.store_served_ms );
     p.capacity = message.capacity;
     p.ready = message.ready;
     p.leaving = message.leaving;
     p.alive = true;
-    p.heard = now;
-    p.store_answered =
-        std::max( p.store_answered,
+    p.last_heard = now;
+    p.store_answered_at =
+        std::max( p.store_answered_at,
                   now - std::chrono::milliseconds( message.store_age_ms ) );
     return change;
 }
 
-auto peer_table::take_silence( silent_instance const& which, core::instant now )
-    -> bool
+auto peer_table::apply_silent_report( silent_instance const& which,
+                                      core::instant now ) -> bool
 {
     auto const found = peers_.find( which.id );
     if ( found == peers_.end() )
         return false;
     auto& p = found->second;
     if ( !p.alive || p.incarnation > which.incarnation ||
-         now - p.heard < heard_lately )
+         now - p.last_heard < direct_contact_time )
         return false;
     p.alive = false;
     return true;
@@ -85,39 +88,43 @@
 
 auto peer_table::round_time() const -> core::duration
 {
-    return round_per_peer *
+    return round_time_per_peer *
            static_cast<int>( std::max<std::size_t>( 1, peers_.size() ) );
 }
 
-auto peer_table::find_silent( core::instant now, core::duration beat )
+auto peer_table::detect_silent_peers( core::instant now,
+                                      core::duration heartbeat_period )
     -> std::vector<core::instance_id>
 {
-    auto const on_duty = coordinators( now );
-    for ( auto const& id : on_duty )
-        on_duty_since_.try_emplace( id, now );
-    std::erase_if( on_duty_since_,
+    auto const current = coordinators( now );
+    for ( auto const& id : current )
+        coordinator_since_.try_emplace( id, now );
+    std::erase_if( coordinator_since_,
                    [&]( auto const& entry )
                    {
-                       return std::find( on_duty.begin(), on_duty.end(),
-                                         entry.first ) == on_duty.end();
+                       return std::find( current.begin(), current.end(),
+                                         entry.first ) == current.end();
                    } );
-    auto const own = on_duty_since_.find( self_ );
+    auto const own_since = coordinator_since_.find( self_ );
     auto silent = std::vector<core::instance_id>{};
     for ( auto& [id, p] : peers_ )
     {
         if ( !p.alive )
             continue;
-        auto since = p.heard;
-        auto limit = std::max( beat * beats_to_silence,
-                               round_time() * rounds_to_silence );
-        auto const duty = on_duty_since_.find( id );
-        // Who has a duty hears all others often, and is heard by all.
-        if ( own != on_duty_since_.end() || duty != on_duty_since_.end() )
+        auto since = p.last_heard;
+        auto limit = std::max( heartbeat_period * max_missed_heartbeats,
+                               round_time() * max_missed_rounds );
+        auto const peer_since = coordinator_since_.find( id );
+        // Coordinators receive the heartbeats of all instances and send theirs
+        // to all, so that a pair with a coordinator is checked more tightly,
+        // counted from when it became one.
+        if ( own_since != coordinator_since_.end() ||
+             peer_since != coordinator_since_.end() )
         {
-            limit = beat * beats_to_silence;
-            since =
-                std::max( since, own != on_duty_since_.end() ? own->second
-                                                             : duty->second );
+            limit = heartbeat_period * max_missed_heartbeats;
+            since = std::max( since, own_since != coordinator_since_.end()
+                                         ? own_since->second
+                                         : peer_since->second );
         }
         if ( now - since <= limit )
             continue;
@@ -127,13 +134,14 @@
     return silent;
 }
 
-auto peer_table::forget( core::instant now ) -> bool
+auto peer_table::remove_long_silent( core::instant now ) -> bool
 {
     return std::erase_if( peers_,
                           [now]( auto const& entry )
                           {
                               auto const& p = entry.second;
-                              return !p.alive && now - p.heard > forget_time;
+                              return !p.alive &&
+                                     now - p.last_heard > removal_time;
                           } ) > 0;
 }
 
@@ -152,72 +160,72 @@
                         } );
 }
 
-auto peer_table::goes_before( standing const& a, standing const& b ) -> bool
+auto peer_table::precedes( precedence const& a, precedence const& b ) -> bool
 {
-    if ( a.is_young != b.is_young )
-        return b.is_young;
+    if ( a.is_warming_up != b.is_warming_up )
+        return b.is_warming_up;
     if ( a.capacity != b.capacity )
         return a.capacity > b.capacity;
     return a.rank < b.rank;
 }
 
-auto peer_table::standing_of( peer const& p, core::instant now ) const
-    -> standing
+auto peer_table::precedence_of( peer const& p, core::instant now ) const
+    -> precedence
 {
-    return { now - p.started < young_time, p.capacity, p.rank, &p.id };
+    return { now - p.started < warm_up_time, p.capacity, p.rank, &p.id };
 }
 
-auto peer_table::own_standing( core::instant now ) const -> standing
+auto peer_table::own_precedence( core::instant now ) const -> precedence
 {
-    return { now - started_ < young_time, capacity_, rank_, &self_ };
+    return { now - started_ < warm_up_time, capacity_, rank_, &self_ };
 }
 
 auto peer_table::coordinators( core::instant now ) const
     -> std::vector<core::instance_id>
 {
-    auto all = std::vector<standing>{};
+    auto all = std::vector<precedence>{};
     all.reserve( peers_.size() + 1 );
     if ( !leaving_ )
-        all.push_back( own_standing( now ) );
+        all.push_back( own_precedence( now ) );
     for ( auto const& [id, p] : peers_ )
         if ( p.alive && !p.leaving )
-            all.push_back( standing_of( p, now ) );
-    auto const most =
+            all.push_back( precedence_of( p, now ) );
+    auto const count =
         std::min( all.size(), std::size_t{ number_of_coordinators } );
     std::partial_sort( all.begin(),
-                       all.begin() + static_cast<std::ptrdiff_t>( most ),
-                       all.end(), goes_before );
-    auto first = std::vector<core::instance_id>{};
-    for ( auto i = std::size_t{ 0 }; i < most; ++i )
-        first.push_back( *all[i].id );
-    return first;
+                       all.begin() + static_cast<std::ptrdiff_t>( count ),
+                       all.end(), precedes );
+    auto result = std::vector<core::instance_id>{};
+    for ( auto i = std::size_t{ 0 }; i < count; ++i )
+        result.push_back( *all[i].id );
+    return result;
 }
 
 auto peer_table::is_coordinator( core::instant now ) const -> bool
 {
-    return !leaving_ && number_before( now ) < number_of_coordinators;
+    return !leaving_ && own_position( now ) < number_of_coordinators;
 }
 
-auto peer_table::number_before( core::instant now ) const -> int
+auto peer_table::own_position( core::instant now ) const -> int
 {
-    auto const own = own_standing( now );
+    auto const own = own_precedence( now );
     return static_cast<int>(
         std::count_if( peers_.begin(), peers_.end(),
                        [&]( auto const& entry )
                        {
                            auto const& p = entry.second;
                            return p.alive && !p.leaving &&
-                                  goes_before( standing_of( p, now ), own );
+                                  precedes( precedence_of( p, now ), own );
                        } ) );
 }
 
-auto peer_table::youngest_answer( core::instant now ) const -> core::duration
+auto peer_table::min_store_age( core::instant now ) const -> core::duration
 {
-    auto youngest = core::duration::max();
+    auto min_age = core::duration::max();
     for ( auto const& [id, p] : peers_ )
         if ( p.alive && !p.leaving )
-            youngest = std::min( youngest, now - p.store_answered );
-    return youngest;
+            min_age = std::min( min_age, now - p.store_answered_at );
+    return min_age;
 }
 
 }
--- a/src/pollenstream/peers/peer_table.hpp
+++ b/src/pollenstream/peers/peer_table.hpp
@@ -15,53 +15,58 @@
 namespace pollenstream::peers
 {
 
-/// Another instance, as far as it has been heard.
+/// The known state of another instance, from its messages.
 struct peer
 {
     core::instance_id id;
     core::incarnation incarnation;
     std::string ip;
     core::data_centre_id data_centre;
-    std::string callers;
-    ports::store_revision known_until;
-    core::instant store_answered;     ///< when the store last answered it
-    core::duration store_served{ 0 }; ///< without a break, when it was heard
-    std::int64_t capacity{ 0 };       ///< thousandths of a core
+    std::string callers;               ///< where callers connect
+    ports::store_revision known_until; ///< last revision that it has seen
+    core::instant store_answered_at;   ///< when the store last answered it
+    /// Time for which the store had served it without interruption, as of its
+    /// last message.
+    core::duration store_served_for{ 0 };
+    std::int64_t capacity{ 0 }; ///< in thousandths of a core
     core::instant started;
-    std::uint64_t rank{ 0 }; ///< same order at every instance
-    bool ready{ false };
-    bool leaving{ false };
-    bool alive{ false };
-    core::instant heard;
+    std::uint64_t rank{ 0 }; ///< hash of the id, equal at every instance
+    bool ready{ false };     ///< callers may be sent to it
+    bool leaving{ false };   ///< in a planned stop
+    bool alive{ false };     ///< not silent
+    core::instant last_heard;
 };
 
-/// What this instance tells of itself.
+/// The state of this instance that its messages carry.
 struct own_state
 {
     core::instance_id id;
     core::incarnation incarnation;
     std::string ip;
     core::data_centre_id data_centre;
-    std::string callers;
-    /// Thousandths of a core that it may use; the strongest place prompts.
+    std::string callers; ///< where callers connect
+    /// Thousandths of a core that it may use. Instances with the most capacity
+    /// become coordinators.
     std::int64_t capacity{ 0 };
 };
 
-/// What a message has changed.
+/// Changes to a peer that a message has caused.
 struct peer_change
 {
-    bool is_former{ false };    ///< of a process that has ended; nothing taken
-    bool is_new{ false };       ///< not known before
-    bool is_restarted{ false }; ///< a later process under a known id
-    bool is_back{ false };      ///< was taken for silent
-    bool begins_to_leave{ false };
+    bool is_stale{ false };      ///< from an earlier process; not applied
+    bool is_new{ false };        ///< not known before
+    bool is_restarted{ false };  ///< a later process under a known id
+    bool has_recovered{ false }; ///< was marked as silent
+    bool starts_leaving{ false };
 };
 
-/// Which instances there are, and in which order they take over duties for all.
+/// The other instances, and the order in which instances become coordinators.
 ///
-/// The first few in the order place prompts, read the store and watch over the
-/// others. Nobody agrees on it: each instance goes by what it has heard, and
-/// two that differ for a moment cost places at engines, never a promise.
+/// The first few in the order are the coordinators: they place prompts, read
+/// the store and report silent instances to all others. There is no consensus:
+/// each instance computes the order from the messages it has received. While
+/// two instances differ, prompts may be placed on engines less well, but no
+/// guarantee depends on their agreement.
 class peer_table
 {
 public:
@@ -69,16 +74,19 @@
 
     peer_table( own_state const& self, core::instant now );
 
-    auto take( peer_message const& message, core::instant now ) -> peer_change;
-    /// Takes over that another instance has not heard it; false where this one
-    /// knows better.
-    auto take_silence( silent_instance const& which, core::instant now )
+    auto apply_message( peer_message const& message, core::instant now )
+        -> peer_change;
+    /// Marks a peer as silent because another instance reports it. Returns
+    /// false where nothing changes: the peer is unknown, already silent,
+    /// restarted, or was heard directly a moment ago.
+    auto apply_silent_report( silent_instance const& which, core::instant now )
         -> bool;
-    /// Those that should have been heard by now; they are left out.
-    auto find_silent( core::instant now, core::duration beat )
+    /// Marks the peers whose messages are overdue as silent and returns them.
+    auto detect_silent_peers( core::instant now,
+                              core::duration heartbeat_period )
         -> std::vector<core::instance_id>;
-    /// Forgets who has been silent for long; true where there was one.
-    auto forget( core::instant now ) -> bool;
+    /// Removes peers that have been silent for long; true if there were any.
+    auto remove_long_silent( core::instant now ) -> bool;
     auto set_leaving() -> void
     {
         leaving_ = true;
@@ -90,38 +98,41 @@
     }
     [[nodiscard]] auto find( core::instance_id const& id ) const -> peer const*;
     [[nodiscard]] auto has_ip( std::string const& ip ) const -> bool;
-    /// The living instances that have a duty for all, this one included where
-    /// it is one of them, in their order.
+    /// The coordinators in their order. May include this instance; instances
+    /// that are silent or leaving are none.
     [[nodiscard]] auto coordinators( core::instant now ) const
         -> std::vector<core::instance_id>;
     [[nodiscard]] auto is_coordinator( core::instant now ) const -> bool;
-    /// Living instances before this one in the order.
-    [[nodiscard]] auto number_before( core::instant now ) const -> int;
-    /// Shortest time since the store answered another living instance.
-    [[nodiscard]] auto youngest_answer( core::instant now ) const
+    /// Number of alive instances before this one in the order.
+    [[nodiscard]] auto own_position( core::instant now ) const -> int;
+    /// Shortest time since the store answered another alive instance.
+    [[nodiscard]] auto min_store_age( core::instant now ) const
         -> core::duration;
 
-    /// Instances that have a duty for all: one may be frozen, and the next cut
-    /// off or lost at the same time.
+    /// Three, so that one is left if one is frozen and another is cut off or
+    /// lost at the same time.
     static constexpr auto number_of_coordinators = 3;
-    /// Time in which others tell each other of themselves, in turn. It mends
-    /// what lost datagrams left wrong; at 295 instances it costs 5 a second.
+    /// Period in which a non-coordinator sends its state once to every other
+    /// instance, in turn, to repair what lost datagrams left wrong. It grows
+    /// with the number of instances, so that the cost stays at 5 datagrams a
+    /// second, also with 295 instances.
     [[nodiscard]] auto round_time() const -> core::duration;
 
 private:
-    /// The strongest go first, and of these an order by chance that all agree
-    /// on; whoever has just started goes last, since it knows of no work.
-    struct standing
+    /// Position of an instance in the order: the highest capacity first, then
+    /// by a hash of the id, which is the same at every instance. An instance
+    /// that has just started comes last, since it does not know the open work.
+    struct precedence
     {
-        bool is_young{ false };
+        bool is_warming_up{ false };
         std::int64_t capacity{ 0 };
         std::uint64_t rank{ 0 };
         core::instance_id const* id{ nullptr };
     };
-    static auto goes_before( standing const& a, standing const& b ) -> bool;
-    [[nodiscard]] auto standing_of( peer const& p, core::instant now ) const
-        -> standing;
-    [[nodiscard]] auto own_standing( core::instant now ) const -> standing;
+    static auto precedes( precedence const& a, precedence const& b ) -> bool;
+    [[nodiscard]] auto precedence_of( peer const& p, core::instant now ) const
+        -> precedence;
+    [[nodiscard]] auto own_precedence( core::instant now ) const -> precedence;
 
     core::instance_id self_;
     std::int64_t capacity_;
@@ -129,8 +140,8 @@
     core::instant started_;
     bool leaving_{ false };
     peer_map peers_;
-    /// Since when each has had a duty, as far as this instance knows.
-    std::map<core::instance_id, core::instant> on_duty_since_;
+    /// Since when this instance has counted each coordinator as one.
+    std::map<core::instance_id, core::instant> coordinator_since_;
 };
 
 }
