--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -132,7 +132,7 @@
                            records_,
                            [this]
                            {
-                               return group_.own_duty();
+                               return group_.coordinator_position();
                            } ),
       caller_handler_( context_ ), state_handler_( registry_ ),
       directory_handler_(
@@ -218,7 +218,7 @@
             return;
         auto bytes = peers::encode_update( update );
         if ( bytes.size() <= largest_told_update )
-            group_.tell_update( std::move( bytes ) );
+            group_.broadcast_update( std::move( bytes ) );
     };
     events.on_targets_changed = [this]
     {
@@ -247,7 +247,7 @@
         {
             group_.on_datagram( bytes );
         } );
-    group_.set_ask_handler( router_ );
+    group_.set_placement_handler( router_ );
     group_.on_load_changed = [this]
     {
         wait_queue_.poke();
@@ -327,7 +327,7 @@
 {
     auto const now = scheduler_.now();
     auto const* const better =
-        group_.better_informed( registry_.known_until() );
+        group_.better_informed_peer( registry_.known_until() );
     if ( better == nullptr )
     {
         behind_since_ = now;
--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -15,18 +15,19 @@
 
 using namespace std::chrono_literals;
 
-/// Changes of one instance's work go out together after this time. It bounds
-/// how old the coordinators' knowledge is, and what telling them costs.
+/// Changes of this instance's work are collected for this time and sent
+/// together. Shorter keeps the coordinators more current, longer takes fewer
+/// datagrams.
 constexpr auto flush_delay = core::duration( 8ms );
-/// Complete messages go to the coordinators this often, and somewhat more
-/// rarely where there are many instances, for the coordinators' sake.
-constexpr auto shortest_beat = core::duration( 250ms );
-constexpr auto longest_beat = core::duration( 500ms );
-constexpr auto beat_per_peer = core::duration( 5ms );
-/// Addresses of others that each complete message passes on.
-constexpr auto passed_on_ips = std::size_t{ 8 };
-/// An address that never answered is tried this long.
-constexpr auto try_time = core::duration( 20s );
+/// Bounds of the period at which complete messages go to the coordinators. It
+/// grows with the number of instances to limit the load on the coordinators.
+constexpr auto min_heartbeat_period = core::duration( 250ms );
+constexpr auto max_heartbeat_period = core::duration( 500ms );
+constexpr auto heartbeat_period_per_peer = core::duration( 5ms );
+/// Number of other instances' addresses in each complete message.
+constexpr auto max_gossiped_ips = std::size_t{ 8 };
+/// An address without a known instance is tried for this long.
+constexpr auto contact_time = core::duration( 20s );
 
 }
 
@@ -48,15 +49,15 @@
 {
     for ( auto const& ip : seed_ips_ )
         add_ip( ip );
-    tells_new_ips_ = true;
-    beat();
+    greets_new_ips_ = true;
+    send_heartbeat();
 }
 
 auto peer_group::set_ready( bool ready ) -> void
 {
     if ( std::exchange( ready_, ready ) == ready )
         return;
-    tell_all_ = true;
+    broadcast_pending_ = true;
     arm_flush();
 }
 
@@ -67,14 +68,15 @@
     table_.set_leaving();
     auto const message = base_message();
     send_to_all( message );
-    // Datagrams may be lost; callers that come here later are turned away.
+    // Repeated, since datagrams may be lost: an instance that gets none of them
+    // keeps naming this one to callers, which are then turned away here.
     for ( auto const delay : { 40ms, 120ms, 300ms } )
-        repeats_.push_back( scheduler_.call_after( delay,
-                                                   [this]
-                                                   {
-                                                       send_to_all(
-                                                           base_message() );
-                                                   } ) );
+        retransmissions_.push_back(
+            scheduler_.call_after( delay,
+                                   [this]
+                                   {
+                                       send_to_all( base_message() );
+                                   } ) );
 }
 
 auto peer_group::add_ip( std::string const& ip ) -> void
@@ -82,9 +84,10 @@
     if ( ip == self_.ip || ip.empty() || table_.has_ip( ip ) )
         return;
     auto const is_new =
-        extra_ips_.insert_or_assign( ip, scheduler_.now() ).second;
-    // Others go by an instance's order until they hear that it has started.
-    if ( is_new && tells_new_ips_ )
+        unconfirmed_ips_.insert_or_assign( ip, scheduler_.now() ).second;
+    // Until others hear of the start, they keep this instance at the position
+    // in the order that its previous process had.
+    if ( is_new && greets_new_ips_ )
         send( ip, encode( complete_message() ) );
 }
 
@@ -105,14 +108,14 @@
     message.ready = ready_;
     message.leaving = leaving_;
     message.store_age_ms = core::milliseconds_of( store_age_ );
-    message.store_served_ms = core::milliseconds_of( store_served_ );
+    message.store_served_ms = core::milliseconds_of( store_served_for_ );
     message.capacity = self_.capacity;
     message.uptime_ms = core::milliseconds_of( scheduler_.now() - started_ );
     return message;
 }
 
-/// What another instance last told of itself.
-auto peer_group::relay_of( peer const& p ) const -> peer_message
+/// The last known state of another instance, as a message from it.
+auto peer_group::relayed_message( peer const& p ) const -> peer_message
 {
     auto const now = scheduler_.now();
     auto message = peer_message{};
@@ -135,7 +138,7 @@
     auto all = std::set<std::string>{};
     for ( auto const& [id, p] : table_.all() )
         all.insert( p.ip );
-    for ( auto const& [ip, since] : extra_ips_ )
+    for ( auto const& [ip, since] : unconfirmed_ips_ )
         all.insert( ip );
     return { all.begin(), all.end() };
 }
@@ -174,7 +177,7 @@
     return table_.coordinators( scheduler_.now() );
 }
 
-auto peer_group::own_duty() const -> std::optional<int>
+auto peer_group::coordinator_position() const -> std::optional<int>
 {
     auto const now = scheduler_.now();
     if ( !table_.is_coordinator( now ) )
@@ -242,13 +245,14 @@
 auto peer_group::flush() -> void
 {
     flush_call_.reset();
-    if ( std::exchange( tell_all_, false ) )
+    if ( std::exchange( broadcast_pending_, false ) )
     {
-        auto news = base_message();
-        news.ejected = std::exchange( pending_.ejected, {} );
-        news.leaving_targets = std::exchange( pending_.leaving_targets, {} );
-        news.limits = std::exchange( pending_.limits, {} );
-        send_to_all( news );
+        auto broadcast = base_message();
+        broadcast.ejected = std::exchange( pending_.ejected, {} );
+        broadcast.leaving_targets =
+            std::exchange( pending_.leaving_targets, {} );
+        broadcast.limits = std::exchange( pending_.limits, {} );
+        send_to_all( broadcast );
     }
     auto message = base_message();
     message.work = std::exchange( pending_.work, {} );
@@ -265,25 +269,28 @@
                           message.cleared.empty();
     if ( is_empty )
         return;
-    tell_new_coordinators();
+    inform_new_coordinators();
     send_to_coordinators( message );
 }
 
-/// One that has just got the duty knows of no work that was open before.
-auto peer_group::tell_new_coordinators() -> void
+/// Sends all open work to those that have become coordinators since the last
+/// call: what was open before has not been sent to them.
+auto peer_group::inform_new_coordinators() -> void
 {
-    auto now = coordinators();
-    for ( auto const& id : now )
-        if ( id != self_.id &&
-             std::find( told_.begin(), told_.end(), id ) == told_.end() )
+    auto current = coordinators();
+    for ( auto const& id : current )
+        if ( id != self_.id && std::find( informed_coordinators_.begin(),
+                                          informed_coordinators_.end(),
+                                          id ) == informed_coordinators_.end() )
             send_to_peer( id, message_for_new_coordinator() );
-    told_ = std::move( now );
+    informed_coordinators_ = std::move( current );
 }
 
-auto peer_group::beat_period() const -> core::duration
+auto peer_group::heartbeat_period() const -> core::duration
 {
-    return std::clamp( beat_per_peer * static_cast<int>( peers().size() ),
-                       shortest_beat, longest_beat );
+    return std::clamp( heartbeat_period_per_peer *
+                           static_cast<int>( peers().size() ),
+                       min_heartbeat_period, max_heartbeat_period );
 }
 
 auto peer_group::complete_message() -> peer_message
@@ -293,8 +300,8 @@
     message.work = load_table_.works_of( self_.id, scheduler_.now() );
     if ( handler_ != nullptr )
         message.undecided = handler_->undecided();
-    message.known_ips = some_ips();
-    add_target_news( message );
+    message.known_ips = next_gossip_ips();
+    add_target_updates( message );
     return message;
 }
 
@@ -303,11 +310,11 @@
     auto message = complete_message();
     message.crashes.clear();
     for ( auto const& run : crashes_.all() )
-        message.crashes.push_back( told( run ) );
+        message.crashes.push_back( crash_to_send( run ) );
     return message;
 }
 
-auto peer_group::beat() -> void
+auto peer_group::send_heartbeat() -> void
 {
     auto const message = complete_message();
     if ( table_.is_coordinator( scheduler_.now() ) || peers().empty() )
@@ -317,45 +324,45 @@
     else
     {
         send_to_coordinators( message );
-        tell_in_turn();
+        send_to_next_in_round();
     }
-    told_ = coordinators();
-    check_silent();
-    share_limits();
-    beat_call_ = scheduler_.call_after( beat_period(),
-                                        [this]
-                                        {
-                                            auto const done =
-                                                std::move( beat_call_ );
-                                            beat();
-                                        } );
-}
-
-/// Tells some of the others, each in its turn, that this instance lives; and
-/// those of whom only the address is known, so that they answer.
-auto peer_group::tell_in_turn() -> void
+    informed_coordinators_ = coordinators();
+    check_silent_peers();
+    update_limit_shares();
+    heartbeat_call_ = scheduler_.call_after( heartbeat_period(),
+                                             [this]
+                                             {
+                                                 auto const done = std::move(
+                                                     heartbeat_call_ );
+                                                 send_heartbeat();
+                                             } );
+}
+
+/// Sends this instance's state to the next peers of the round, and to addresses
+/// without a known instance, so that these answer.
+auto peer_group::send_to_next_in_round() -> void
 {
     auto const bytes = encode( base_message() );
-    for ( auto const& [ip, since] : extra_ips_ )
+    for ( auto const& [ip, since] : unconfirmed_ips_ )
         send( ip, bytes );
     auto const count = peers().size();
-    auto const share = core::seconds_of( beat_period() ) /
-                       core::seconds_of( table_.round_time() );
-    auto const some =
+    auto const part_of_round = core::seconds_of( heartbeat_period() ) /
+                               core::seconds_of( table_.round_time() );
+    auto const batch =
         std::min( count, static_cast<std::size_t>( std::ceil(
-                             share * static_cast<double>( count ) ) ) );
+                             part_of_round * static_cast<double>( count ) ) ) );
     auto at = peers().begin();
-    std::advance( at, count == 0 ? 0 : next_in_turn_ % count );
-    for ( auto i = std::size_t{ 0 }; i < some; ++i )
+    std::advance( at, count == 0 ? 0 : next_round_peer_ % count );
+    for ( auto i = std::size_t{ 0 }; i < batch; ++i )
     {
         send( at->second.ip, bytes );
         if ( ++at == peers().end() )
             at = peers().begin();
     }
-    next_in_turn_ = count == 0 ? 0 : ( next_in_turn_ + some ) % count;
+    next_round_peer_ = count == 0 ? 0 : ( next_round_peer_ + batch ) % count;
 }
 
-auto peer_group::some_ips() -> std::vector<std::string>
+auto peer_group::next_gossip_ips() -> std::vector<std::string>
 {
     auto alive = std::vector<std::string>{};
     for ( auto const& [id, p] : peers() )
@@ -363,47 +370,48 @@
             alive.push_back( p.ip );
     auto chosen = std::vector<std::string>{};
     for ( auto i = std::size_t{ 0 };
-          i < std::min( alive.size(), passed_on_ips ); ++i )
-        chosen.push_back( alive[next_ip_++ % alive.size()] );
+          i < std::min( alive.size(), max_gossiped_ips ); ++i )
+        chosen.push_back( alive[next_gossip_ip_++ % alive.size()] );
     return chosen;
 }
 
-auto peer_group::lose( core::instance_id const& id, std::string because )
-    -> void
+auto peer_group::handle_lost_peer( core::instance_id const& id,
+                                   std::string reason ) -> void
 {
     load_table_.end_all_work( id, scheduler_.now() );
     if ( auto const* const p = table_.find( id ) )
-        note( *p, "silent", std::move( because ) );
+        log_peer_state( *p, "silent", std::move( reason ) );
     if ( handler_ != nullptr )
         handler_->on_lost( id );
 }
 
-auto peer_group::check_silent() -> void
+auto peer_group::check_silent_peers() -> void
 {
     auto const now = scheduler_.now();
-    auto const silent = table_.detect_silent_peers( now, beat_period() );
+    auto const silent = table_.detect_silent_peers( now, heartbeat_period() );
     auto message = base_message();
     for ( auto const& id : silent )
     {
-        lose( id, "not heard" );
+        handle_lost_peer( id, "no messages received in time" );
         message.silent.push_back( { id, table_.find( id )->incarnation } );
     }
     if ( !silent.empty() && table_.is_coordinator( now ) )
         send_to_all( message );
     if ( table_.remove_long_silent( now ) && on_size_changed )
         on_size_changed();
-    std::erase_if( extra_ips_,
+    std::erase_if( unconfirmed_ips_,
                    [now]( auto const& entry )
                    {
-                       return now - entry.second > try_time;
+                       return now - entry.second > contact_time;
                    } );
 }
 
-auto peer_group::note( peer const& which, std::string now, std::string because )
-    -> void
+auto peer_group::log_peer_state( peer const& which,
+                                 std::string state,
+                                 std::string reason ) -> void
 {
     log_.record( exchange::state_change{
-        "peer", which.id.str(), std::move( now ), std::move( because ),
+        "peer", which.id.str(), std::move( state ), std::move( reason ),
         scheduler_.now() - which.last_heard } );
 }
 
@@ -413,20 +421,21 @@
     if ( decoded.has_error() || decoded.value().sender == self_.id )
         return;
     auto& message = decoded.value();
-    if ( !take_sender( message ) )
+    if ( !apply_sender_state( message ) )
         return;
-    take_silent( message );
-    take_crashes( message );
-    take_leaving( message );
-    take_limits( message );
-    take_work( message );
-    take_placement_requests( message );
+    apply_silent_reports( message );
+    apply_crashes( message );
+    apply_leaving_targets( message );
+    apply_limits( message );
+    apply_work( message );
+    dispatch_placement_requests( message );
     if ( !message.update.empty() && on_update )
         on_update( message.sender.str(), message.update );
 }
 
-/// False for a message of a former process of the sender.
-auto peer_group::take_sender( peer_message const& message ) -> bool
+/// Returns false, and applies nothing, if the message is from an earlier
+/// process of the sender.
+auto peer_group::apply_sender_state( peer_message const& message ) -> bool
 {
     auto const now = scheduler_.now();
     auto const change = table_.apply_message( message, now );
@@ -439,12 +448,12 @@
         if ( handler_ != nullptr )
             handler_->on_lost( message.sender );
     }
-    extra_ips_.erase( p.ip );
+    unconfirmed_ips_.erase( p.ip );
     if ( change.is_new || change.has_recovered )
-        note( p, "alive", "heard" );
+        log_peer_state( p, "alive", "heard" );
     if ( change.starts_leaving )
     {
-        note( p, "leaving", "it said so" );
+        log_peer_state( p, "leaving", "announced by the instance" );
         if ( handler_ != nullptr )
             handler_->on_lost( message.sender );
     }
@@ -453,27 +462,29 @@
     if ( change.is_new && on_size_changed )
         on_size_changed();
     if ( change.is_new || change.has_recovered || change.starts_leaving )
-        share_limits();
-    // It has to know of this instance; where it places prompts, of its work.
+        update_limit_shares();
+    // The sender needs the state of this instance and, if it is a coordinator,
+    // the open work.
     if ( change.is_new || change.is_restarted )
         send( p.ip, encode( complete_message() ) );
     if ( change.has_recovered && table_.is_coordinator( now ) )
-        send_to_all( relay_of( p ) );
+        send_to_all( relayed_message( p ) );
     return true;
 }
 
-auto peer_group::take_silent( peer_message const& message ) -> void
+auto peer_group::apply_silent_reports( peer_message const& message ) -> void
 {
     for ( auto const& which : message.silent )
     {
         if ( which.id == self_.id )
             send_to_peer( message.sender, complete_message() );
         else if ( table_.apply_silent_report( which, scheduler_.now() ) )
-            lose( which.id, "not heard by " + message.sender.str() );
+            handle_lost_peer( which.id,
+                              "reported silent by " + message.sender.str() );
     }
 }
 
-auto peer_group::take_placement_requests( peer_message& message ) -> void
+auto peer_group::dispatch_placement_requests( peer_message& message ) -> void
 {
     if ( handler_ == nullptr )
         return;
@@ -486,8 +497,9 @@
         handler_->on_answer( message.sender, answer );
 }
 
-/// Takes over all that the sender has open; true where something has ended.
-auto peer_group::take_open( peer_message const& message ) -> bool
+/// Ends the known work of the sender that its complete message does not list.
+/// Returns true if there was any.
+auto peer_group::reconcile_open_work( peer_message const& message ) -> bool
 {
     auto open = std::set<std::uint64_t>( message.undecided.begin(),
                                          message.undecided.end() );
@@ -495,16 +507,16 @@
         open.insert( work.serial );
     if ( handler_ != nullptr )
         handler_->on_open( message.sender, open );
-    auto freed = false;
+    auto load_decreased = false;
     for ( auto const& work :
           load_table_.works_of( message.sender, scheduler_.now() ) )
     {
         if ( open.contains( work.serial ) )
             continue;
         load_table_.end_work( message.sender, work.serial, scheduler_.now() );
-        freed = true;
+        load_decreased = true;
     }
-    return freed;
+    return load_decreased;
 }
 
 auto peer_group::release( core::instance_id const& owner, std::uint64_t serial )
@@ -515,11 +527,11 @@
         handler_->on_released( owner, serial );
 }
 
-auto peer_group::take_work( peer_message const& message ) -> void
+auto peer_group::apply_work( peer_message const& message ) -> void
 {
     auto const now = scheduler_.now();
-    auto freed = !message.ended.empty() || !message.served.empty() ||
-                 !message.prefill_ended.empty();
+    auto load_decreased = !message.ended.empty() || !message.served.empty() ||
+                          !message.prefill_ended.empty();
     for ( auto const& work : message.work )
         load_table_.add_work( message.sender, work, now );
     for ( auto const serial : message.prefill_ended )
@@ -532,13 +544,13 @@
     for ( auto const serial : message.ended )
         release( message.sender, serial );
     if ( message.complete )
-        freed = take_open( message ) || freed;
+        load_decreased = reconcile_open_work( message ) || load_decreased;
     for ( auto const& f : message.failed )
         load_table_.note_failure( f.target, now, f.how );
     for ( auto const& s : message.ejected )
         load_table_.eject( s.target,
                            now + std::chrono::milliseconds( s.time_ms ) );
-    if ( freed && on_load_changed )
+    if ( load_decreased && on_load_changed )
         on_load_changed();
 }
 
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -20,14 +20,14 @@
 namespace pollenstream::peers
 {
 
-/// A target whose answer to this instance said that it leaves.
+/// A target that has announced in an answer to this instance that it leaves.
 struct announced_leaving
 {
     exchange::target_ref target;
-    core::instant at;
+    core::instant at; ///< when the answer came
 };
 
-/// Sends datagrams to other instances; some may be lost.
+/// Sends datagrams to other instances. Datagrams may be lost.
 class datagram_sender
 {
 public:
@@ -36,19 +36,21 @@
         -> void = 0;
 };
 
-/// What this instance has sent to others.
+/// Counts what this instance has sent to others.
 struct sent_counters
 {
     core::counter datagrams;
     core::counter bytes;
 };
 
-/// The instances of the system. Each tells a few, the coordinators, of its open
-/// work as it changes, and at regular times that it lives; the coordinators
-/// tell all others that they live, and who is not heard any more. What each
-/// sends grows with its own requests and not with the number of instances: told
-/// to all, open work took 66 kB a second of each of 295 instances, for less
-/// than one request a second each (a calm day of a played deployment).
+/// The messages between the instances of the system.
+///
+/// Each instance sends its open work to the few coordinators whenever it
+/// changes, and a heartbeat with all of it at regular intervals. The
+/// coordinators send their heartbeats, and which instances have become silent,
+/// to all. What an instance sends thus grows with its own requests and not with
+/// the number of instances. Open work that went to all would take 66 kB a
+/// second at each of 295 instances with less than one request a second each.
 class peer_group : public exchange::work_announcer, public placement_transport
 {
 public:
@@ -62,22 +64,25 @@
 
     auto start() -> void;
     auto set_ready( bool ready ) -> void;
-    /// Tells all others at once that no caller should be sent here.
+    /// Tells all others immediately to direct no more callers to this instance.
     auto announce_leaving() -> void;
-    /// What this instance knows of the store, and when that answered it.
+    /// Sets the last revision that this instance has seen, the time since the
+    /// store answered it, and for how long the store has served it without
+    /// interruption.
     auto set_store_state( ports::store_revision at,
                           core::duration age,
                           core::duration served_for ) -> void;
-    /// Longest time for which the store has served another living instance
-    /// without a break.
+    /// Longest time for which the store has served another alive instance
+    /// without interruption.
     [[nodiscard]] auto others_served_for() const -> core::duration;
-    /// Tells all others of changes that the store told this instance.
-    auto tell_update( std::string update ) -> void;
-    /// True where this instance is one of those that read the store: one of
-    /// the first few in an order that all agree on, or one of the next where
-    /// the store has not answered these lately.
+    /// Sends changes of records that this instance has read from the store to
+    /// all others.
+    auto broadcast_update( std::string update ) -> void;
+    /// True if this instance is to read the store: it is a coordinator, or
+    /// follows in the order and the store has not answered any other instance
+    /// lately.
     [[nodiscard]] auto should_read_store() const -> bool;
-    /// An instance that the registry names.
+    /// Adds the address of an instance, from the registry or from a peer.
     auto add_ip( std::string const& ip ) -> void;
 
     auto on_datagram( std::string_view bytes ) -> void;
@@ -86,24 +91,26 @@
     {
         return table_.all();
     }
-    /// Who is told of asks for targets, of answers and of open work.
-    auto set_ask_handler( placement_handler& handler ) -> void
+    /// Sets who handles placement requests, their answers and open work.
+    auto set_placement_handler( placement_handler& handler ) -> void
     {
         handler_ = &handler;
     }
-    /// Instances that share budgets: this one and all heard lately.
+    /// Number of instances among which budgets are divided, such as that of
+    /// retries: this one and all peers, of which silent ones are removed after
+    /// some time.
     [[nodiscard]] auto size() const -> std::size_t;
-    /// One of the living instances that know more of the store than `at`,
-    /// another one at each call; null where there is none.
-    [[nodiscard]] auto better_informed( ports::store_revision at ) const
+    /// An alive instance that has seen a later revision of the store than `at`,
+    /// chosen anew at each call; null if there is none.
+    [[nodiscard]] auto better_informed_peer( ports::store_revision at ) const
         -> peer const*;
 
-    /// Called when load that others caused has gone.
+    /// Called when load that other instances caused has ended.
     std::function<void()> on_load_changed;
-    /// Called with changes of records that another instance tells of.
+    /// Called with changes of records that another instance has sent.
     std::function<void( std::string const& from, std::string const& update )>
         on_update;
-    /// Called when the number of instances has changed.
+    /// Called when `size` has changed.
     std::function<void()> on_size_changed;
 
     auto work_began( exchange::open_work const& work ) -> void override;
@@ -119,9 +126,9 @@
                          exchange::limit_change change ) -> void override;
     auto run_crashed( exchange::crashed_run const& what ) -> void override;
     auto suspect_served( exchange::content_id content ) -> void override;
-    /// Where this instance has a duty for all: tells all others which targets
-    /// have ended by runs of the content.
-    auto tell_quarantined( exchange::content_id content ) -> void;
+    /// If this instance is a coordinator, tells all others that the content is
+    /// quarantined, and which targets it has crashed.
+    auto broadcast_quarantined( exchange::content_id content ) -> void;
 
     [[nodiscard]] auto coordinators() const
         -> std::vector<core::instance_id> override;
@@ -133,8 +140,9 @@
     auto send_release( core::instance_id const& to, std::uint64_t serial )
         -> void override;
 
-    /// This instance's place among the coordinators, from 0.
-    [[nodiscard]] auto own_duty() const -> std::optional<int>;
+    /// Position of this instance among the coordinators, from 0; nothing if it
+    /// is none.
+    [[nodiscard]] auto coordinator_position() const -> std::optional<int>;
 
     /// Datagrams and bytes that this instance has sent to others.
     [[nodiscard]] auto sent() const -> sent_counters const&
@@ -144,7 +152,7 @@
 
 private:
     auto base_message() const -> peer_message;
-    auto relay_of( peer const& p ) const -> peer_message;
+    auto relayed_message( peer const& p ) const -> peer_message;
     auto complete_message() -> peer_message;
     auto message_for_new_coordinator() -> peer_message;
     auto send( std::string const& ip, std::string const& bytes ) -> void;
@@ -154,35 +162,37 @@
     auto send_to_coordinators( peer_message const& message ) -> void;
     auto arm_flush() -> void;
     auto flush() -> void;
-    auto beat() -> void;
-    auto beat_period() const -> core::duration;
-    auto tell_in_turn() -> void;
-    [[nodiscard]] auto time_to_settle() const -> core::duration;
-    auto tell_new_coordinators() -> void;
-    auto check_silent() -> void;
-    auto lose( core::instance_id const& id, std::string because ) -> void;
-    auto take_sender( peer_message const& message ) -> bool;
-    auto take_silent( peer_message const& message ) -> void;
-    auto take_crashes( peer_message const& message ) -> void;
-    auto take_leaving( peer_message const& message ) -> void;
-    auto take_limits( peer_message const& message ) -> void;
-    [[nodiscard]] auto told( exchange::target_ref const& ref ) const
+    auto send_heartbeat() -> void;
+    auto heartbeat_period() const -> core::duration;
+    auto send_to_next_in_round() -> void;
+    [[nodiscard]] auto store_read_delay() const -> core::duration;
+    auto inform_new_coordinators() -> void;
+    auto check_silent_peers() -> void;
+    auto handle_lost_peer( core::instance_id const& id, std::string reason )
+        -> void;
+    auto apply_sender_state( peer_message const& message ) -> bool;
+    auto apply_silent_reports( peer_message const& message ) -> void;
+    auto apply_crashes( peer_message const& message ) -> void;
+    auto apply_leaving_targets( peer_message const& message ) -> void;
+    auto apply_limits( peer_message const& message ) -> void;
+    [[nodiscard]] auto limit_to_send( exchange::target_ref const& ref ) const
         -> told_limit;
-    auto tell_coordinators( exchange::target_ref const& ref ) -> void;
+    auto send_limit_to_coordinators( exchange::target_ref const& ref ) -> void;
     auto add_limits( peer_message& message ) -> void;
-    auto share_limits() -> void;
-    [[nodiscard]] auto told( exchange::crashed_run const& what ) const
+    auto update_limit_shares() -> void;
+    [[nodiscard]] auto crash_to_send( exchange::crashed_run const& what ) const
         -> told_crash;
-    auto add_target_news( peer_message& message ) -> void;
-    auto take_placement_requests( peer_message& message ) -> void;
-    auto take_work( peer_message const& message ) -> void;
+    auto add_target_updates( peer_message& message ) -> void;
+    auto dispatch_placement_requests( peer_message& message ) -> void;
+    auto apply_work( peer_message const& message ) -> void;
     auto release( core::instance_id const& owner, std::uint64_t serial )
         -> void;
-    auto take_open( peer_message const& message ) -> bool;
-    auto some_ips() -> std::vector<std::string>;
+    auto reconcile_open_work( peer_message const& message ) -> bool;
+    auto next_gossip_ips() -> std::vector<std::string>;
     auto addresses() const -> std::vector<std::string>;
-    auto note( peer const& which, std::string now, std::string because )
-        -> void;
+    auto log_peer_state( peer const& which,
+                         std::string state,
+                         std::string reason ) -> void;
 
     own_state self_;
     std::vector<std::string> seed_ips_;
@@ -195,27 +205,30 @@
 
     peer_table table_;
     core::instant started_;
-    std::map<std::string, core::instant> extra_ips_;
+    /// Addresses without a known instance, with when each was last added.
+    std::map<std::string, core::instant> unconfirmed_ips_;
     bool ready_{ false };
     bool leaving_{ false };
-    bool tells_new_ips_{ false };
-    bool tell_all_{ false }; ///< the next change goes to all
+    bool greets_new_ips_{ false };    ///< sends to each new address at once
+    bool broadcast_pending_{ false }; ///< the next flush also goes to all
     ports::store_revision known_until_;
     core::duration store_age_{ 0 };
-    core::duration store_served_{ 0 };
-    peer_message pending_;
-    /// Seen here lately; repeated, since each may be lost.
+    core::duration store_served_for_{ 0 };
+    peer_message pending_; ///< changes for the next flush
+    /// Recently seen by this instance. Complete messages repeat them, since
+    /// datagrams may be lost.
     std::vector<exchange::crashed_run> own_crashes_;
-    std::vector<announced_leaving> own_leaving_; ///< the same
-    std::size_t next_limit_{ 0 };         ///< to tell, of all that are known
-    std::vector<core::instance_id> told_; ///< coordinators with all open work
-    std::size_t next_ip_{ 0 };
-    std::size_t next_in_turn_{ 0 };
-    mutable std::uint64_t asked_{ 0 };
+    std::vector<announced_leaving> own_leaving_targets_; ///< the same
+    std::size_t next_limit_{ 0 }; ///< first limit of the next complete message
+    /// Coordinators that have been sent all open work.
+    std::vector<core::instance_id> informed_coordinators_;
+    std::size_t next_gossip_ip_{ 0 };
+    std::size_t next_round_peer_{ 0 };
+    mutable std::uint64_t peer_choices_{ 0 }; ///< by `better_informed_peer`
     sent_counters sent_;
     std::unique_ptr<ports::scheduled_call> flush_call_;
-    std::unique_ptr<ports::scheduled_call> beat_call_;
-    std::vector<std::unique_ptr<ports::scheduled_call>> repeats_;
+    std::unique_ptr<ports::scheduled_call> heartbeat_call_;
+    std::vector<std::unique_ptr<ports::scheduled_call>> retransmissions_;
 };
 
 }
--- a/src/pollenstream/peers/peer_group_store.cpp
+++ b/src/pollenstream/peers/peer_group_store.cpp
@@ -3,8 +3,8 @@
 
 #include <algorithm>
 
-// The part of what instances tell each other that is about the store: who reads
-// it, who knows most of it, and what has changed there.
+// The parts of `peer_group` that concern the store: which instances read it,
+// which know more of it, and the updates from it.
 
 namespace pollenstream::peers
 {
@@ -14,28 +14,32 @@
 
 using namespace std::chrono_literals;
 
-/// Without an answer of the store to any instance for this long, the next
-/// ones in the order read too, one after the other. Operators give two seconds
-/// for what the store says to be known everywhere.
-constexpr auto stale_store = core::duration( 1200ms );
-constexpr auto turn_time = core::duration( 60ms );
-/// After this many turns the store is away for all, or nearly all: the rest
-/// take turns more slowly. When all tried at once, an outage of two seconds
-/// cost 90 instances some 600 calls.
-constexpr auto quick_turns = 8;
-constexpr auto slow_turn_time = core::duration( 250ms );
-/// An instance that has just started and has the records does not know yet
-/// whether others read the store: they answer within some tens of ms. Watching
-/// meanwhile, each of many that start together asks again for each other's
-/// registration.
-constexpr auto settle_time = core::duration( 300ms );
-/// An instance without records asks the store itself where no other one answers
-/// within this time, some ten ways there and back.
-constexpr auto answer_time = core::duration( 40ms );
-/// Where others answer it waits this long to hear who they are: of many that
-/// start together the first few ask the store, and the rest take the records
-/// from them. 300 instances before 3,000 targets would each ask for a megabyte.
-constexpr auto greeting_time = core::duration( 150ms );
+/// If the store has answered none of the other instances for this long, more
+/// instances start to read it, one after the other in the order in which they
+/// become coordinators. This leaves time within the two seconds after which a
+/// change in the store has to be known everywhere.
+constexpr auto store_timeout = core::duration( 1200ms );
+/// Delay between two instances of the order that start to read the store.
+constexpr auto takeover_step = core::duration( 60ms );
+/// After this many steps the store is probably unreachable for all instances,
+/// and the rest follow in slower steps. If all tried at once, an outage of two
+/// seconds would cost 90 instances about 600 calls.
+constexpr auto quick_steps = 8;
+constexpr auto slow_takeover_step = core::duration( 250ms );
+/// Time after its start for which an instance that has the records does not
+/// read the store. Within some tens of ms it hears from its peers and knows
+/// whether it is one of the readers. If it watched the store before that, each
+/// of many instances that start together would make another call for every
+/// registration of the others.
+constexpr auto read_delay_with_records = core::duration( 300ms );
+/// The same for an instance that has neither records nor peers. Any peer would
+/// have answered by then: it is about ten round trips.
+constexpr auto read_delay_without_peers = core::duration( 40ms );
+/// The same for an instance that has peers but no records, in which it learns
+/// of all peers. Of many instances that start together, only the first few then
+/// read the store, and the rest fetch the records from these. Otherwise 300
+/// instances with 3,000 targets would each fetch a megabyte from the store.
+constexpr auto read_delay_with_peers = core::duration( 150ms );
 
 }
 
@@ -45,19 +49,19 @@
 {
     known_until_ = at;
     store_age_ = age;
-    store_served_ = served_for;
+    store_served_for_ = served_for;
 }
 
 auto peer_group::others_served_for() const -> core::duration
 {
     auto longest = core::duration( 0 );
     for ( auto const& [id, p] : table_.all() )
-        if ( p.alive && scheduler_.now() - p.store_answered_at < stale_store )
+        if ( p.alive && scheduler_.now() - p.store_answered_at < store_timeout )
             longest = std::max( longest, p.store_served_for );
     return longest;
 }
 
-auto peer_group::tell_update( std::string update ) -> void
+auto peer_group::broadcast_update( std::string update ) -> void
 {
     auto message = base_message();
     message.update = std::move( update );
@@ -68,40 +72,41 @@
 {
     auto const now = scheduler_.now();
     auto const up_time = now - started_;
-    if ( up_time < time_to_settle() )
+    if ( up_time < store_read_delay() )
         return false;
-    auto const before = table_.own_position( now );
+    auto const position = table_.own_position( now );
     constexpr auto readers = peer_table::number_of_coordinators;
-    if ( before < readers )
+    if ( position < readers )
         return true;
-    auto const turn = before - readers;
-    auto const quick = std::min( turn, quick_turns );
-    auto const wait = turn_time * quick + slow_turn_time * ( turn - quick );
-    auto const silence = std::min( table_.min_store_age( now ), up_time );
-    return silence > stale_store + wait;
+    auto const steps = position - readers;
+    auto const quick = std::min( steps, quick_steps );
+    auto const wait =
+        takeover_step * quick + slow_takeover_step * ( steps - quick );
+    auto const store_age = std::min( table_.min_store_age( now ), up_time );
+    return store_age > store_timeout + wait;
 }
 
-/// Time from its start in which this instance does not read the store.
-auto peer_group::time_to_settle() const -> core::duration
+/// Time after its start for which this instance does not read the store.
+auto peer_group::store_read_delay() const -> core::duration
 {
     if ( known_until_ > ports::store_revision{} )
-        return settle_time;
-    return peers().empty() ? answer_time : greeting_time;
+        return read_delay_with_records;
+    return peers().empty() ? read_delay_without_peers : read_delay_with_peers;
 }
 
-auto peer_group::better_informed( ports::store_revision at ) const
+auto peer_group::better_informed_peer( ports::store_revision at ) const
     -> peer const*
 {
-    auto better = std::vector<peer const*>{};
+    auto candidates = std::vector<peer const*>{};
     for ( auto const& [id, p] : table_.all() )
         if ( p.alive && p.known_until > at )
-            better.push_back( &p );
-    if ( better.empty() )
+            candidates.push_back( &p );
+    if ( candidates.empty() )
         return nullptr;
-    // Each asks another one, so that none has to tell all: those who have
-    // been told tell others.
-    auto const draw = core::stable_hash( self_.id.str(), ++asked_ );
-    return better[draw % better.size()];
+    // A pseudo-random choice spreads the fetches of the instances that are
+    // behind; those that have caught up serve others.
+    auto const draw = core::stable_hash( self_.id.str(), ++peer_choices_ );
+    return candidates[draw % candidates.size()];
 }
 
 }
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <chrono>
 
-// The part of what instances tell each other that is about targets: failures,
-// leaving, and contents under which targets end.
+// The parts of `peer_group` that concern targets: failures, limits, targets
+// that leave, and contents that crash targets.
 
 namespace pollenstream::peers
 {
@@ -15,21 +15,22 @@
 
 using namespace std::chrono_literals;
 
-/// What was seen here of a target's end or leaving stands in all complete
-/// messages for this long.
-constexpr auto told_time = core::duration( 3s );
-/// Limits that one message tells; more are told in turn.
-constexpr auto most_told_limits = std::size_t{ 40 };
-/// Part of its equal share of a limit that an instance may use without having
-/// asked: what many draw for themselves may fall together.
-constexpr auto uncoordinated_part = 0.25;
+/// Complete messages repeat the crashes and leaving targets that this instance
+/// has seen for this long, since the first datagram may be lost.
+constexpr auto retransmit_time = core::duration( 3s );
+/// Maximum number of limits in one complete message; more limits take turns.
+constexpr auto max_limits_per_message = std::size_t{ 40 };
+/// Part of its equal share of a limit that an instance may use without a grant
+/// of a coordinator. It is small because the uncoordinated requests of several
+/// instances may coincide.
+constexpr auto uncoordinated_share = 0.25;
 
 }
 
 auto peer_group::target_failed( exchange::target_ref const& ref,
                                 exchange::target_failure how ) -> void
 {
-    // This instance may place prompts too, and is told by nobody else.
+    // This instance may be a coordinator, and does not send to itself.
     if ( how == exchange::target_failure::turned_away )
         load_table_.note_failure( ref, scheduler_.now(), how );
     pending_.failed.push_back( { ref, how } );
@@ -40,36 +41,38 @@
                                  core::duration time ) -> void
 {
     pending_.ejected.push_back( { ref, core::milliseconds_of( time ) } );
-    tell_all_ = true;
+    broadcast_pending_ = true;
     arm_flush();
 }
 
 auto peer_group::target_leaves( exchange::target_ref const& ref ) -> void
 {
-    own_leaving_.push_back( { ref, scheduler_.now() } );
+    own_leaving_targets_.push_back( { ref, scheduler_.now() } );
     pending_.leaving_targets.push_back( ref );
-    tell_all_ = true;
+    broadcast_pending_ = true;
     arm_flush();
 }
 
-/// Those who place prompts go by it at once, as what is sent meanwhile counts
-/// against the limit; all others with the next news.
+/// Informs the coordinators at once, since requests that are sent meanwhile
+/// count against the limit, and all other instances with the next broadcast.
 auto peer_group::target_limited( exchange::target_ref const& ref,
                                  exchange::limit_change change ) -> void
 {
     using exchange::limit_change;
     if ( change == limit_change::named || change == limit_change::lowered )
-        tell_coordinators( ref );
-    pending_.limits.push_back( told( ref ) );
-    tell_all_ = true;
+        send_limit_to_coordinators( ref );
+    pending_.limits.push_back( limit_to_send( ref ) );
+    broadcast_pending_ = true;
     arm_flush();
 }
 
-/// Besides what this instance has lately sent there: it counts too.
-auto peer_group::tell_coordinators( exchange::target_ref const& ref ) -> void
+/// Sends the limit together with the times of this instance's unreported
+/// requests to the target, which count against the limit too.
+auto peer_group::send_limit_to_coordinators( exchange::target_ref const& ref )
+    -> void
 {
     auto const now = scheduler_.now();
-    auto limit = told( ref );
+    auto limit = limit_to_send( ref );
     for ( auto const at : load_table_.take_unreported( ref, now ) )
         limit.sent_ages_ms.push_back( core::milliseconds_of( now - at ) );
     auto message = base_message();
@@ -77,7 +80,8 @@
     send_to_coordinators( message );
 }
 
-auto peer_group::told( exchange::target_ref const& ref ) const -> told_limit
+auto peer_group::limit_to_send( exchange::target_ref const& ref ) const
+    -> told_limit
 {
     auto const now = scheduler_.now();
     auto const held = load_table_.find_lifetime( ref )->limit.held();
@@ -88,13 +92,13 @@
 auto peer_group::add_limits( peer_message& message ) -> void
 {
     auto const limited = load_table_.limited();
-    auto const some = std::min( limited.size(), most_told_limits );
-    for ( auto i = std::size_t{ 0 }; i < some; ++i )
+    auto const count = std::min( limited.size(), max_limits_per_message );
+    for ( auto i = std::size_t{ 0 }; i < count; ++i )
         message.limits.push_back(
-            told( limited[next_limit_++ % limited.size()] ) );
+            limit_to_send( limited[next_limit_++ % limited.size()] ) );
 }
 
-auto peer_group::take_limits( peer_message const& message ) -> void
+auto peer_group::apply_limits( peer_message const& message ) -> void
 {
     auto const now = scheduler_.now();
     auto const ago = [now]( std::int64_t ms )
@@ -117,33 +121,35 @@
             l.target, change, l.per_second,
             "its answer to " + message.sender.str() ) );
         if ( change == exchange::limit_change::named )
-            tell_coordinators( l.target );
+            send_limit_to_coordinators( l.target );
     }
 }
 
-/// Who places for all hands out all of each limit, but where it hears only the
-/// lesser part of the instances: it may be cut off from another one that does.
-auto peer_group::share_limits() -> void
+/// The active coordinator grants the whole of each limit. If it hears only a
+/// minority of the instances, it grants just their share, since another active
+/// coordinator may exist on the other side of a network partition.
+auto peer_group::update_limit_shares() -> void
 {
-    auto known = 1.0;
-    auto living = 1.0;
+    auto known_instances = 1.0;
+    auto alive_instances = 1.0;
     for ( auto const& [id, p] : table_.all() )
     {
-        known += p.leaving ? 0 : 1;
-        living += p.leaving || !p.alive ? 0 : 1;
+        known_instances += p.leaving ? 0 : 1;
+        alive_instances += p.leaving || !p.alive ? 0 : 1;
     }
-    auto const hears_most = living * 2 > known;
+    auto const hears_majority = alive_instances * 2 > known_instances;
     auto const phase =
         static_cast<double>( core::stable_hash( self_.id.str() ) >> 11U ) /
         static_cast<double>( std::uint64_t{ 1 } << 53U );
-    load_table_.set_limit_shares( { hears_most ? 1.0 : living / known,
-                                    uncoordinated_part / known, phase } );
+    load_table_.set_limit_shares(
+        { hears_majority ? 1.0 : alive_instances / known_instances,
+          uncoordinated_share / known_instances, phase } );
 }
 
 auto peer_group::run_crashed( exchange::crashed_run const& what ) -> void
 {
     own_crashes_.push_back( what );
-    pending_.crashes.push_back( told( what ) );
+    pending_.crashes.push_back( crash_to_send( what ) );
     arm_flush();
 }
 
@@ -158,24 +164,25 @@
     arm_flush();
 }
 
-auto peer_group::told( exchange::crashed_run const& what ) const -> told_crash
+auto peer_group::crash_to_send( exchange::crashed_run const& what ) const
+    -> told_crash
 {
     return { what.content, what.target,
              core::milliseconds_of( scheduler_.now() - what.at ) };
 }
 
-auto peer_group::tell_quarantined( exchange::content_id content ) -> void
+auto peer_group::broadcast_quarantined( exchange::content_id content ) -> void
 {
     if ( !table_.is_coordinator( scheduler_.now() ) )
         return;
     auto message = base_message();
     for ( auto const& run : crashes_.crashes_of( content ) )
-        message.crashes.push_back( told( run ) );
+        message.crashes.push_back( crash_to_send( run ) );
     message.quarantined.push_back( content );
     send_to_all( message );
 }
 
-auto peer_group::take_crashes( peer_message const& message ) -> void
+auto peer_group::apply_crashes( peer_message const& message ) -> void
 {
     auto const now = scheduler_.now();
     for ( auto const& c : message.crashes )
@@ -183,18 +190,18 @@
                                now - std::chrono::milliseconds( c.age_ms ) } );
     for ( auto const content : message.quarantined )
         crashes_.prove( content );
-    auto to_all = base_message();
+    auto broadcast = base_message();
     for ( auto const content : message.cleared )
     {
         if ( crashes_.is_quarantined( content ) )
-            to_all.cleared.push_back( content );
+            broadcast.cleared.push_back( content );
         crashes_.note_served( content, now );
     }
-    if ( !to_all.cleared.empty() && table_.is_coordinator( now ) )
-        send_to_all( to_all );
+    if ( !broadcast.cleared.empty() && table_.is_coordinator( now ) )
+        send_to_all( broadcast );
 }
 
-auto peer_group::take_leaving( peer_message const& message ) -> void
+auto peer_group::apply_leaving_targets( peer_message const& message ) -> void
 {
     for ( auto const& ref : message.leaving_targets )
         if ( load_table_.note_announced_leaving( ref ) )
@@ -206,28 +213,30 @@
                                         {} } );
 }
 
-/// What ends its targets, for those that have missed it or have just started;
-/// besides what was seen here lately of ends and of leaving.
-auto peer_group::add_target_news( peer_message& message ) -> void
+/// Adds the quarantined contents with their crashes, for instances that missed
+/// them or have just started, and the crashes, leaving targets and limits that
+/// this instance knows of.
+auto peer_group::add_target_updates( peer_message& message ) -> void
 {
     auto const is_old = [now = scheduler_.now()]( auto const& one )
     {
-        return now - one.at > told_time;
+        return now - one.at > retransmit_time;
     };
     std::erase_if( own_crashes_, is_old );
-    std::erase_if( own_leaving_, is_old );
+    std::erase_if( own_leaving_targets_, is_old );
     for ( auto const& run : crashes_.quarantined() )
     {
-        message.crashes.push_back( told( run ) );
+        message.crashes.push_back( crash_to_send( run ) );
         auto const& last = message.quarantined;
         if ( last.empty() || last.back() != run.content )
             message.quarantined.push_back( run.content );
     }
-    // Coordinators tell their messages to all, who need no more than that.
+    // Only coordinators need crashes of contents that are not quarantined; the
+    // messages of a coordinator go to all instances.
     if ( !table_.is_coordinator( scheduler_.now() ) )
         for ( auto const& run : own_crashes_ )
-            message.crashes.push_back( told( run ) );
-    for ( auto const& one : own_leaving_ )
+            message.crashes.push_back( crash_to_send( run ) );
+    for ( auto const& one : own_leaving_targets_ )
         message.leaving_targets.push_back( one.target );
     add_limits( message );
 }
--- a/src/pollenstream/peers/peer_table.cpp
+++ b/src/pollenstream/peers/peer_table.cpp
@@ -26,7 +26,7 @@
 /// the report of another instance.
 constexpr auto direct_contact_time = core::duration( 500ms );
 /// A silent peer is removed this long after it was last heard, and then no
-/// longer counts in the division of limits among instances.
+/// longer counts in the division of limits and budgets among instances.
 constexpr auto removal_time = core::duration( 30s );
 
 }
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -80,7 +80,7 @@
         targets += ( targets.empty() ? "" : "," ) + run.target.id.str();
     note( content, "quarantined", "broke at " + targets );
     held_.insert( content );
-    group_.tell_quarantined( content );
+    group_.broadcast_quarantined( content );
     if ( on_changed )
         on_changed( content );
     auto const open = std::vector( context_.open.begin(), context_.open.end() );
--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -334,11 +334,11 @@
     fleet.all[1]->group.set_store_state( ports::store_revision( 9 ), 0ms, 0ms );
     fleet.scheduler.run( 300ms );
     auto const* best =
-        fleet.all[0]->group.better_informed( ports::store_revision( 1 ) );
+        fleet.all[0]->group.better_informed_peer( ports::store_revision( 1 ) );
     REQUIRE( best != nullptr );
     CHECK( best->id == core::instance_id( "n2" ) );
-    CHECK( fleet.all[0]->group.better_informed( ports::store_revision( 9 ) ) ==
-           nullptr );
+    CHECK( fleet.all[0]->group.better_informed_peer(
+               ports::store_revision( 9 ) ) == nullptr );
 }
 
 TEST_CASE( "spoiled datagrams are passed over", "[peers][input]" )
@@ -388,9 +388,10 @@
     fleet.scheduler.run( 300ms );
     auto asked = std::set<std::string>{};
     for ( auto i = 0; i < 20; ++i )
-        asked.insert( fleet.all[0]
-                          ->group.better_informed( ports::store_revision( 1 ) )
-                          ->id.str() );
+        asked.insert(
+            fleet.all[0]
+                ->group.better_informed_peer( ports::store_revision( 1 ) )
+                ->id.str() );
     CHECK( asked.size() >= 5 );
 }
 
@@ -605,7 +606,8 @@
     auto fresh = instance( fleet.network, fleet.scheduler, 10, { "10.0.0.1" } );
     fresh.group.start();
     fleet.scheduler.run( 10ms );
-    CHECK( fresh.group.better_informed( ports::store_revision{} ) != nullptr );
+    CHECK( fresh.group.better_informed_peer( ports::store_revision{} ) !=
+           nullptr );
     for ( auto i = 0; i < 100; ++i )
     {
         fleet.run( 10ms, 10ms );
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -485,11 +485,11 @@
                codec(),
                [this]
                {
-                   return group.own_duty();
+                   return group.coordinator_position();
                } )
 {
     coordinator_.set_configuration( fleet.configuration );
-    group.set_ask_handler( router_ );
+    group.set_placement_handler( router_ );
     group.on_load_changed = [this]
     {
         wait_queue_.poke();
