--- a/tests/peers/peer_group_test.cpp
+++ b/tests/peers/peer_group_test.cpp
@@ -19,16 +19,17 @@
 
 struct instance;
 
-/// Datagrams between instances of one test; some addresses may be cut off.
-struct small_network
+/// Delivers datagrams between the instances of one test, except from and to
+/// unreachable addresses.
+struct simulated_network
 {
-    /// Delivers after all that was sent before.
+    /// Delivers the datagram after all that were sent before it.
     auto send( std::string const& from,
                std::string const& to,
                std::string bytes ) -> void;
 
     std::map<std::string, instance*> by_ip;
-    std::set<std::string> silent;
+    std::set<std::string> unreachable;
 
 private:
     struct datagram
@@ -43,7 +44,7 @@
 class network_sender : public peers::datagram_sender
 {
 public:
-    network_sender( small_network& network, std::string from )
+    network_sender( simulated_network& network, std::string from )
         : network_( network ), from_( std::move( from ) )
     {
     }
@@ -51,13 +52,13 @@
         -> void override;
 
 private:
-    small_network& network_;
+    simulated_network& network_;
     std::string from_;
 };
 
 struct instance
 {
-    instance( small_network& network,
+    instance( simulated_network& network,
               held_scheduler& scheduler,
               int number,
               std::vector<std::string> seeds,
@@ -76,7 +77,7 @@
         network.by_ip[ip] = this;
         loads.put( make_target( "m1", "model" ) );
     }
-    auto places_prompts() const -> bool
+    auto is_coordinator() const -> bool
     {
         auto const all = group.coordinators();
         return std::find( all.begin(), all.end(), core::instance_id( name ) ) !=
@@ -102,11 +103,11 @@
     network_.send( from_, ip, bytes );
 }
 
-auto small_network::send( std::string const& from,
-                          std::string const& to,
-                          std::string bytes ) -> void
+auto simulated_network::send( std::string const& from,
+                              std::string const& to,
+                              std::string bytes ) -> void
 {
-    if ( silent.count( to ) != 0 || silent.count( from ) != 0 )
+    if ( unreachable.count( to ) != 0 || unreachable.count( from ) != 0 )
         return;
     queue_.push_back( { to, std::move( bytes ) } );
     if ( std::exchange( delivering_, true ) )
@@ -122,7 +123,7 @@
     delivering_ = false;
 }
 
-/// Some instances that know one of them at the start.
+/// Instances that know only the address of the first one at the start.
 struct small_fleet
 {
     explicit small_fleet( int count )
@@ -139,7 +140,7 @@
         }
         scheduler.run( 2s );
     }
-    /// All tell the same time since the store answered them.
+    /// Runs while the store last answered every instance `store_age` ago.
     auto run( core::duration time, core::duration store_age ) -> void
     {
         for ( auto t = core::duration( 0 ); t < time; t += 100ms )
@@ -150,13 +151,12 @@
             scheduler.run( 100ms );
         }
     }
-    /// One that does not place prompts.
-    auto other_than_coordinators() const -> instance&
+    auto any_non_coordinator() const -> instance&
     {
         auto const found = std::find_if( all.begin(), all.end(),
                                          []( auto const& one )
                                          {
-                                             return !one->places_prompts();
+                                             return !one->is_coordinator();
                                          } );
         REQUIRE( found != all.end() );
         return **found;
@@ -172,11 +172,11 @@
     }
 
     held_scheduler scheduler;
-    small_network network;
+    simulated_network network;
     std::vector<std::unique_ptr<instance>> all;
 };
 
-auto some_work( std::uint64_t serial ) -> exchange::open_work
+auto make_work( std::uint64_t serial ) -> exchange::open_work
 {
     auto work = exchange::open_work{};
     work.serial = serial;
@@ -186,106 +186,108 @@
     return work;
 }
 
-auto addresses_at( instance const& one ) -> std::vector<std::string>
+auto directory_of( instance const& one ) -> std::vector<std::string>
 {
     return peers::choose_caller_addresses( one.group, one.ip + ":80", true );
 }
 
 }
 
-TEST_CASE( "instances that know one of them find each other", "[peers]" )
+TEST_CASE( "instances that share a seed address discover each other",
+           "[peers]" )
 {
     auto fleet = small_fleet( 9 );
     for ( auto const& one : fleet.all )
         CHECK( one->group.size() == 9 );
-    CHECK( addresses_at( *fleet.all[4] ).size() == 9 );
+    CHECK( directory_of( *fleet.all[4] ).size() == 9 );
 }
 
-TEST_CASE( "open work is known to the coordinators within some milliseconds",
-           "[peers]" )
+TEST_CASE( "open work reaches the coordinators within milliseconds", "[peers]" )
 {
     auto fleet = small_fleet( 9 );
     auto const coordinators = fleet.all[0]->group.coordinators();
     REQUIRE( coordinators.size() == 3 );
-    auto const others_with_work = [&]( std::string const& except )
+    auto const load_by_role = [&]( std::string const& except )
     {
         auto loads = std::map<bool, int>{};
         for ( auto const& one : fleet.all )
             if ( one->name != except )
-                loads[one->places_prompts()] += static_cast<int>( one->load() );
+                loads[one->is_coordinator()] += static_cast<int>( one->load() );
         return loads;
     };
-    auto const work = some_work( 1 );
-    auto& first = fleet.other_than_coordinators();
+    auto const work = make_work( 1 );
+    auto& first = fleet.any_non_coordinator();
     first.loads.add_work( core::instance_id( first.name ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
-    // Nobody else has to know of it.
-    CHECK( others_with_work( first.name ) ==
+    // Only the coordinators are informed.
+    CHECK( load_by_role( first.name ) ==
            std::map<bool, int>{ { true, 3 }, { false, 0 } } );
     first.loads.end_work( core::instance_id( first.name ), 1,
                           fleet.scheduler.now() );
     first.group.work_ended( 1, exchange::work_outcome::served );
     fleet.scheduler.run( 10ms );
-    CHECK( others_with_work( first.name ) ==
+    CHECK( load_by_role( first.name ) ==
            std::map<bool, int>{ { true, 0 }, { false, 0 } } );
 }
 
-TEST_CASE( "a lost datagram is made good by the next complete message",
+TEST_CASE( "the next complete message repairs the loss of a datagram",
            "[peers]" )
 {
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
-    auto const work = some_work( 1 );
+    auto const work = make_work( 1 );
     first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
-    fleet.network.silent.insert( first.ip );
+    fleet.network.unreachable.insert( first.ip );
     first.loads.end_work( core::instance_id( "n1" ), 1, fleet.scheduler.now() );
     first.group.work_ended( 1, exchange::work_outcome::served );
     fleet.scheduler.run( 10ms );
     CHECK( fleet.all[1]->load() == 1 );
-    fleet.network.silent.clear();
+    fleet.network.unreachable.clear();
     fleet.scheduler.run( 300ms );
     CHECK( fleet.all[1]->load() == 0 );
 }
 
-TEST_CASE( "the work of an instance that has died is forgotten", "[peers]" )
+TEST_CASE( "the open work of a lost instance is removed", "[peers]" )
 {
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
-    auto const work = some_work( 1 );
+    auto const work = make_work( 1 );
     first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 10ms );
-    fleet.network.silent.insert( first.ip );
+    fleet.network.unreachable.insert( first.ip );
     fleet.scheduler.run( 3s );
     CHECK( fleet.all[1]->load() == 0 );
-    CHECK( addresses_at( *fleet.all[1] ).size() == 2 );
+    CHECK( directory_of( *fleet.all[1] ).size() == 2 );
 }
 
-TEST_CASE( "an instance that is about to stop is no longer told to callers",
+TEST_CASE( "the directory does not list an instance that is leaving",
            "[peers][stop]" )
 {
     auto fleet = small_fleet( 3 );
     fleet.all[0]->group.announce_leaving();
-    CHECK( addresses_at( *fleet.all[1] ).size() == 2 );
-    // Also where the first datagrams are lost.
-    fleet.network.silent.insert( fleet.all[2]->ip );
+    CHECK( directory_of( *fleet.all[1] ).size() == 2 );
+    // The announcement is repeated, so that this also holds if the first
+    // datagrams are lost.
+    fleet.network.unreachable.insert( fleet.all[2]->ip );
     fleet.all[1]->group.announce_leaving();
-    fleet.network.silent.clear();
+    fleet.network.unreachable.clear();
     fleet.scheduler.run( 150ms );
-    CHECK( addresses_at( *fleet.all[2] ).size() == 1 );
+    CHECK( directory_of( *fleet.all[2] ).size() == 1 );
 }
 
-TEST_CASE( "messages of a former process count for nothing", "[peers]" )
+TEST_CASE( "messages of an earlier process of an instance are ignored",
+           "[peers]" )
 {
     auto fleet = small_fleet( 2 );
     auto& old = *fleet.all[0];
-    auto const work = some_work( 1 );
+    auto const work = make_work( 1 );
     old.loads.add_work( core::instance_id( "n1" ), work,
                         fleet.scheduler.now() );
     old.group.work_began( work );
@@ -296,39 +298,41 @@
     restarted.group.start();
     fleet.scheduler.run( 50ms );
     CHECK( fleet.all[1]->load() == 0 );
-    old.group.work_began( some_work( 2 ) );
+    old.group.work_began( make_work( 2 ) );
     fleet.scheduler.run( 50ms );
     CHECK( fleet.all[1]->load() == 0 );
 }
 
-TEST_CASE( "few instances read the store, and others where these get nothing",
-           "[peers][store]" )
+TEST_CASE(
+    "the coordinators read the store, and others if it does not answer these",
+    "[peers][store]" )
 {
     auto fleet = small_fleet( 9 );
     fleet.run( 1s, 100ms );
     CHECK( fleet.readers() == 3 );
-    // The readers are cut off; within two seconds others read.
+    // The readers are cut off. Another instance reads within two seconds.
     for ( auto const& one : fleet.all )
         if ( one->group.should_read_store() )
-            fleet.network.silent.insert( one->ip );
-    auto const cut = fleet.network.silent;
-    REQUIRE( cut.size() == 3 );
+            fleet.network.unreachable.insert( one->ip );
+    auto const cut_off = fleet.network.unreachable;
+    REQUIRE( cut_off.size() == 3 );
     for ( auto i = 0; i < 19; ++i )
     {
         for ( auto const& one : fleet.all )
-            if ( cut.count( one->ip ) == 0 )
+            if ( cut_off.count( one->ip ) == 0 )
                 one->group.set_store_state( ports::store_revision( 1 ),
                                             10s + i * 100ms, 0ms );
         fleet.scheduler.run( 100ms );
     }
-    auto reading = 0;
+    auto other_readers = 0;
     for ( auto const& one : fleet.all )
-        if ( cut.count( one->ip ) == 0 && one->group.should_read_store() )
-            ++reading;
-    CHECK( reading >= 1 );
+        if ( cut_off.count( one->ip ) == 0 && one->group.should_read_store() )
+            ++other_readers;
+    CHECK( other_readers >= 1 );
 }
 
-TEST_CASE( "a better informed instance is named", "[peers][store]" )
+TEST_CASE( "a peer with a later revision of the store is found",
+           "[peers][store]" )
 {
     auto fleet = small_fleet( 3 );
     fleet.all[1]->group.set_store_state( ports::store_revision( 9 ), 0ms, 0ms );
@@ -341,11 +345,12 @@
                ports::store_revision( 9 ) ) == nullptr );
 }
 
-TEST_CASE( "spoiled datagrams are passed over", "[peers][input]" )
+TEST_CASE( "damaged datagrams are decoded to an error or a message",
+           "[peers][input]" )
 {
     auto message = peers::peer_message{};
     message.sender = core::instance_id( "n9" );
-    message.work.push_back( some_work( 3 ) );
+    message.work.push_back( make_work( 3 ) );
     message.update = "bytes";
     auto const good = peers::encode( message );
     REQUIRE( peers::decode( good ).has_value() );
@@ -360,13 +365,13 @@
             bytes.resize( cut );
         else if ( cut < bytes.size() )
             bytes[cut] = static_cast<char>( random() );
-        // Whatever it is, it is an error or a message, and nothing else.
+        // The result may be an error or a message; decoding must not crash.
         static_cast<void>( peers::decode( bytes ) );
     }
     CHECK( peers::decode( "" ).has_error() );
 }
 
-TEST_CASE( "packed bytes come back, and too many are refused",
+TEST_CASE( "compressed data is restored, and too large output is refused",
            "[peers][input]" )
 {
     auto const text = std::string( 300'000, 'x' ) + "end";
@@ -379,7 +384,8 @@
     CHECK( peers::decompress( "", 1'000 ).has_error() );
 }
 
-TEST_CASE( "those who are behind ask different instances", "[peers][store]" )
+TEST_CASE( "an instance that is behind chooses different peers to fetch from",
+           "[peers][store]" )
 {
     auto fleet = small_fleet( 9 );
     for ( auto i = 1; i < 9; ++i )
@@ -395,7 +401,8 @@
     CHECK( asked.size() >= 5 );
 }
 
-TEST_CASE( "changes of records come over whole", "[peers][store]" )
+TEST_CASE( "an update of records is the same after encoding and decoding",
+           "[peers][store]" )
 {
     auto update = pollenstream::registry::record_update{};
     update.from = ports::store_revision( 3 );
@@ -419,26 +426,26 @@
     CHECK( peers::decode_update( "garbage" ).has_error() );
 }
 
-TEST_CASE( "an instance that has just started hears of all open work at once",
+TEST_CASE( "an instance that has just started receives all open work at once",
            "[peers]" )
 {
     auto fleet = small_fleet( 3 );
     auto& first = *fleet.all[0];
-    auto const work = some_work( 1 );
+    auto const work = make_work( 1 );
     first.loads.add_work( core::instance_id( "n1" ), work,
                           fleet.scheduler.now() );
     first.group.work_began( work );
     fleet.scheduler.run( 20ms );
-    // A new process in place of the third, before anybody's next beat.
-    auto fresh =
+    // A new process in place of the third, before the next heartbeat.
+    auto started =
         instance( fleet.network, fleet.scheduler, 3, { "10.0.0.1" }, 2 );
-    CHECK( fresh.load() == 0 );
-    fresh.group.start();
+    CHECK( started.load() == 0 );
+    started.group.start();
     fleet.scheduler.run( 5ms );
-    CHECK( fresh.load() == 1 );
+    CHECK( started.load() == 1 );
 }
 
-TEST_CASE( "all agree on who places prompts, and on who does after a loss",
+TEST_CASE( "all instances agree on the coordinators, also after one is lost",
            "[peers][coordinator]" )
 {
     auto fleet = small_fleet( 9 );
@@ -447,20 +454,21 @@
         CHECK( one->group.coordinators() == before );
     for ( auto const& one : fleet.all )
         if ( core::instance_id( one->name ) == before[0] )
-            fleet.network.silent.insert( one->ip );
+            fleet.network.unreachable.insert( one->ip );
     fleet.scheduler.run( 1500ms );
     auto after = std::set<std::vector<core::instance_id>>{};
     for ( auto const& one : fleet.all )
-        if ( fleet.network.silent.count( one->ip ) == 0 )
+        if ( fleet.network.unreachable.count( one->ip ) == 0 )
             after.insert( one->group.coordinators() );
     REQUIRE( after.size() == 1 );
     CHECK( after.begin()->at( 0 ) == before[1] );
     CHECK( after.begin()->at( 1 ) == before[2] );
 }
 
-TEST_CASE( "an instance that has just started does not place prompts before "
-           "others that know of open work",
-           "[peers][coordinator]" )
+TEST_CASE(
+    "an instance that has just started comes after the coordinators that "
+    "know of open work",
+    "[peers][coordinator]" )
 {
     auto fleet = small_fleet( 5 );
     auto const before = fleet.all[0]->group.coordinators();
@@ -478,31 +486,30 @@
             CHECK( one->group.coordinators()[0] == before[0] );
 }
 
-TEST_CASE( "who takes up the duty has been told of all open work",
-           "[peers][coordinator]" )
+TEST_CASE( "a new coordinator is sent all open work", "[peers][coordinator]" )
 {
     auto fleet = small_fleet( 9 );
     auto const before = fleet.all[0]->group.coordinators();
-    auto& owner = fleet.other_than_coordinators();
-    auto const work = some_work( 1 );
+    auto& owner = fleet.any_non_coordinator();
+    auto const work = make_work( 1 );
     owner.loads.add_work( core::instance_id( owner.name ), work,
                           fleet.scheduler.now() );
     owner.group.work_began( work );
     fleet.scheduler.run( 20ms );
-    // Two of the three are lost at once.
+    // Two of the three coordinators are lost at once.
     for ( auto const& one : fleet.all )
         if ( core::instance_id( one->name ) == before[0] ||
              core::instance_id( one->name ) == before[1] )
-            fleet.network.silent.insert( one->ip );
+            fleet.network.unreachable.insert( one->ip );
     fleet.scheduler.run( 2s );
     for ( auto const& one : fleet.all )
-        if ( fleet.network.silent.count( one->ip ) == 0 &&
-             one->places_prompts() )
+        if ( fleet.network.unreachable.count( one->ip ) == 0 &&
+             one->is_coordinator() )
             CHECK( one->load() == 1 );
 }
 
-/// Bytes a second that an instance sends on average with no requests at all.
-static auto idle_bytes( int instances ) -> double
+/// Average bytes per second that an instance sends while there are no requests.
+static auto idle_bytes_per_second( int instances ) -> double
 {
     auto fleet = small_fleet( instances );
     fleet.scheduler.run( 5s );
@@ -518,27 +525,28 @@
     return ( sum() - before ) / 10 / instances;
 }
 
-/// Before, each told all others of all its work and of itself: 66 kB a second
-/// an instance at 295 instances. Now it tells three, and all others in turn.
-TEST_CASE( "what an instance sends does not grow with their number",
+/// Guards against sending all open work and heartbeats to every instance, which
+/// takes 66 kB a second at each of 295 instances. They go to the three
+/// coordinators, and to the other instances only in turn.
+TEST_CASE( "what an instance sends does not grow with the number of instances",
            "[peers][benchmark]" )
 {
-    auto const few = idle_bytes( 20 );
-    auto const many = idle_bytes( 80 );
+    auto const few = idle_bytes_per_second( 20 );
+    auto const many = idle_bytes_per_second( 80 );
     CAPTURE( few, many );
     CHECK( many < few * 1.25 );
     CHECK( many < 3'000 );
 }
 
 TEST_CASE(
-    "an instance that has just started waits to hear who reads the store",
+    "an instance that has just started waits to learn who reads the store",
     "[peers][store]" )
 {
     auto scheduler = held_scheduler{};
-    auto network = small_network{};
+    auto network = simulated_network{};
     auto one = instance( network, scheduler, 1, {} );
     one.group.start();
-    // Without records it asks for them as soon as nobody answers.
+    // Without records it reads the store as soon as no peer has answered.
     CHECK_FALSE( one.group.should_read_store() );
     scheduler.run( 50ms );
     CHECK( one.group.should_read_store() );
@@ -548,7 +556,7 @@
     CHECK( one.group.should_read_store() );
 }
 
-TEST_CASE( "while the store is away for all, few of many instances ask it",
+TEST_CASE( "while the store is unreachable for all, only some instances try it",
            "[peers][store]" )
 {
     auto fleet = small_fleet( 60 );
@@ -556,16 +564,16 @@
     CHECK( fleet.readers() == 3 );
     for ( auto age = core::duration( 0 ); age < 3s; age += 100ms )
         fleet.run( 100ms, age );
-    // Within a second of silence some have tried whether it serves them.
+    // More than the coordinators, but not all, have started to try the store.
     CHECK( fleet.readers() >= 8 );
     CHECK( fleet.readers() <= 20 );
 }
 
-TEST_CASE( "of many that start together few ask the store for all records",
+TEST_CASE( "of many instances that start together only three read the store",
            "[peers][store]" )
 {
     auto scheduler = held_scheduler{};
-    auto network = small_network{};
+    auto network = simulated_network{};
     auto all = std::vector<std::unique_ptr<instance>>{};
     for ( auto i = 1; i <= 60; ++i )
         all.push_back( std::make_unique<instance>(
@@ -573,7 +581,7 @@
             std::vector<std::string>{ "10.0.0.1", "10.0.0.2" } ) );
     for ( auto const& one : all )
     {
-        // The store has answered none of them yet.
+        // The store has not answered any of them yet.
         one->group.set_store_state( ports::store_revision{}, 1'000s, 0ms );
         one->group.start();
     }
@@ -586,7 +594,7 @@
                 asking.insert( one->name );
     }
     CHECK( asking.size() == 3 );
-    SECTION( "and others where these get nothing" )
+    SECTION( "and more follow if it does not answer these" )
     {
         scheduler.run( 1s );
         auto const more =
@@ -599,29 +607,30 @@
     }
 }
 
-TEST_CASE( "one that starts beside others takes the records from them",
-           "[peers][store]" )
+TEST_CASE(
+    "an instance that starts beside others fetches the records from them",
+    "[peers][store]" )
 {
     auto fleet = small_fleet( 9 );
-    auto fresh = instance( fleet.network, fleet.scheduler, 10, { "10.0.0.1" } );
-    fresh.group.start();
+    auto started =
+        instance( fleet.network, fleet.scheduler, 10, { "10.0.0.1" } );
+    started.group.start();
     fleet.scheduler.run( 10ms );
-    CHECK( fresh.group.better_informed_peer( ports::store_revision{} ) !=
+    CHECK( started.group.better_informed_peer( ports::store_revision{} ) !=
            nullptr );
     for ( auto i = 0; i < 100; ++i )
     {
         fleet.run( 10ms, 10ms );
-        CHECK_FALSE( fresh.group.should_read_store() );
+        CHECK_FALSE( started.group.should_read_store() );
     }
 }
 
-TEST_CASE(
-    "what ends its targets is known to all, also to one that comes later",
-    "[peers][crash]" )
+TEST_CASE( "quarantined content is known to all instances, also to later ones",
+           "[peers][crash]" )
 {
     auto fleet = small_fleet( 6 );
     auto const content = exchange::content_id( -7 );
-    auto const knowing = [&]
+    auto const count_quarantined = [&]
     {
         return std::count_if( fleet.all.begin(), fleet.all.end(),
                               [content]( auto const& one )
@@ -634,7 +643,7 @@
         {
             one->crashes.prove( last.content );
         };
-    // Each of three instances has seen one end; none of them all three.
+    // Each of three instances has seen one crash, and none of them all three.
     for ( auto i = std::size_t{ 0 }; i < 3; ++i )
     {
         auto& one = *fleet.all[i];
@@ -645,39 +654,39 @@
         one.group.run_crashed( what );
     }
     fleet.scheduler.run( 1s );
-    CHECK( knowing() == 6 );
+    CHECK( count_quarantined() == 6 );
 
     auto late = instance( fleet.network, fleet.scheduler, 9, { "10.0.0.1" } );
     late.group.start();
     fleet.scheduler.run( 1s );
     CHECK( late.crashes.is_quarantined( content ) );
 
-    // One of them is served all the same.
+    // A run of the content is served, which lifts the quarantine everywhere.
     auto& any = *fleet.all[4];
     any.crashes.note_served( content, fleet.scheduler.now() );
     any.group.suspect_served( content );
     fleet.scheduler.run( 1s );
-    CHECK( knowing() == 0 );
+    CHECK( count_quarantined() == 0 );
     CHECK_FALSE( late.crashes.is_quarantined( content ) );
 }
 
-TEST_CASE( "coordinators hear of a crash though the first news is lost",
+TEST_CASE( "coordinators learn of a crash although the first datagram is lost",
            "[peers][crash]" )
 {
     auto fleet = small_fleet( 6 );
     auto const content = exchange::content_id( 7 );
     auto* seen_by = static_cast<instance*>( nullptr );
     for ( auto const& one : fleet.all )
-        if ( !one->places_prompts() )
+        if ( !one->is_coordinator() )
             seen_by = one.get();
     REQUIRE( seen_by != nullptr );
-    fleet.network.silent.insert( seen_by->ip );
+    fleet.network.unreachable.insert( seen_by->ip );
     seen_by->group.run_crashed(
         { content, core::target_id( "x" ), fleet.scheduler.now() } );
     fleet.scheduler.run( 100ms );
-    fleet.network.silent.clear();
+    fleet.network.unreachable.clear();
     fleet.scheduler.run( 600ms );
     for ( auto const& one : fleet.all )
-        if ( one->places_prompts() )
+        if ( one->is_coordinator() )
             CHECK( one->crashes.count( content ) == 1 );
 }
