--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -274,7 +274,7 @@
 }
 
 /// Sends all open work to those that have become coordinators since the last
-/// call: what was open before has not been sent to them.
+/// call, as only coordinators receive changes of open work.
 auto peer_group::inform_new_coordinators() -> void
 {
     auto current = coordinators();
--- a/src/pollenstream/peers/peer_table.cpp
+++ b/src/pollenstream/peers/peer_table.cpp
@@ -115,9 +115,9 @@
         auto limit = std::max( heartbeat_period * max_missed_heartbeats,
                                round_time() * max_missed_rounds );
         auto const peer_since = coordinator_since_.find( id );
-        // Coordinators receive the heartbeats of all instances and send theirs
-        // to all, so that a pair with a coordinator is checked more tightly,
-        // counted from when it became one.
+        // Coordinators exchange heartbeats with all instances, so that the
+        // shorter limit applies if this instance or the peer is one. It counts
+        // from when that one became a coordinator at the earliest.
         if ( own_since != coordinator_since_.end() ||
              peer_since != coordinator_since_.end() )
         {
