--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -59,7 +59,7 @@
                                  exchange::limit_change change ) -> void
 {
     using exchange::limit_change;
-    if ( change == limit_change::named || change == limit_change::lowered )
+    if ( change == limit_change::started || change == limit_change::lowered )
         send_limit_to_coordinators( ref );
     pending_.limits.push_back( limit_to_send( ref ) );
     broadcast_pending_ = true;
@@ -120,7 +120,7 @@
         log_.record( exchange::limit_state_change(
             l.target, change, l.per_second,
             "its answer to " + message.sender.str() ) );
-        if ( change == exchange::limit_change::named )
+        if ( change == exchange::limit_change::started )
             send_limit_to_coordinators( l.target );
     }
 }
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -54,7 +54,7 @@
 {
     auto const at = context_.loads.find_lifetime( last.target );
     if ( !at || at->gone )
-        return context_.crashes.prove( last.content );
+        return context_.crashes.confirm( last.content );
     probe_.probe(
         at->properties.address,
         [this, last, alive = std::weak_ptr( alive_token_ )]( auto listens )
@@ -65,7 +65,7 @@
                 context_.crashes.note_alive( last.target,
                                              context_.scheduler.now() );
             else
-                context_.crashes.prove( last.content );
+                context_.crashes.confirm( last.content );
             context_.queue.poke();
         } );
 }
@@ -126,7 +126,7 @@
         auto const at = context_.loads.find_lifetime( target );
         return is_current && at && !at->gone;
     };
-    context_.crashes.review( context_.scheduler.now(), is_listed );
+    context_.crashes.prune( context_.scheduler.now(), is_listed );
     lift_ended_quarantines();
 }
 
