--- a/src/pollenstream/peers/peer_group.cpp
+++ b/src/pollenstream/peers/peer_group.cpp
@@ -507,7 +507,7 @@
         open.insert( work.serial );
     if ( handler_ != nullptr )
         handler_->on_open_serials( message.sender, open );
-    auto freed = false;
+    auto load_decreased = false;
     for ( auto const& work :
           load_table_.works_of( message.sender, scheduler_.now() ) )
     {
@@ -550,7 +550,7 @@
     for ( auto const& s : message.ejected )
         load_table_.eject( s.target,
                            now + std::chrono::milliseconds( s.duration_ms ) );
-    if ( freed && on_load_changed )
+    if ( load_decreased && on_load_changed )
         on_load_changed();
 }
 
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -162,28 +162,29 @@
     auto send_to_coordinators( peer_message const& message ) -> void;
     auto arm_flush() -> void;
     auto flush() -> void;
-    auto beat() -> void;
-    auto beat_period() const -> core::duration;
-    auto tell_in_turn() -> void;
-    [[nodiscard]] auto time_to_settle() const -> core::duration;
-    auto tell_new_coordinators() -> void;
-    auto check_silent() -> void;
-    auto lose( core::instance_id const& id, std::string because ) -> void;
-    auto take_sender( peer_message const& message ) -> bool;
-    auto take_silent( peer_message const& message ) -> void;
-    auto take_crashes( peer_message const& message ) -> void;
-    auto take_leaving( peer_message const& message ) -> void;
-    auto take_limits( peer_message const& message ) -> void;
-    [[nodiscard]] auto told( exchange::target_ref const& ref ) const
+    auto send_heartbeat() -> void;
+    auto heartbeat_period() const -> core::duration;
+    auto send_to_next_in_round() -> void;
+    [[nodiscard]] auto store_read_delay() const -> core::duration;
+    auto inform_new_coordinators() -> void;
+    auto check_silent_peers() -> void;
+    auto handle_lost_peer( core::instance_id const& id, std::string reason )
+        -> void;
+    auto apply_sender_state( peer_message const& message ) -> bool;
+    auto apply_silent_reports( peer_message const& message ) -> void;
+    auto apply_crashes( peer_message const& message ) -> void;
+    auto apply_leaving_targets( peer_message const& message ) -> void;
+    auto apply_limits( peer_message const& message ) -> void;
+    [[nodiscard]] auto limit_to_send( exchange::target_ref const& ref ) const
         -> limit_update;
-    auto tell_coordinators( exchange::target_ref const& ref ) -> void;
+    auto send_limit_to_coordinators( exchange::target_ref const& ref ) -> void;
     auto add_limits( peer_message& message ) -> void;
-    auto share_limits() -> void;
-    [[nodiscard]] auto told( exchange::crashed_run const& what ) const
+    auto update_limit_shares() -> void;
+    [[nodiscard]] auto crash_to_send( exchange::crashed_run const& what ) const
         -> crash_update;
-    auto add_target_news( peer_message& message ) -> void;
-    auto take_placement_requests( peer_message& message ) -> void;
-    auto take_work( peer_message const& message ) -> void;
+    auto add_target_updates( peer_message& message ) -> void;
+    auto dispatch_placement_requests( peer_message& message ) -> void;
+    auto apply_work( peer_message const& message ) -> void;
     auto release( core::instance_id const& owner, std::uint64_t serial )
         -> void;
     auto reconcile_open_work( peer_message const& message ) -> bool;
--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -81,7 +81,7 @@
 }
 
 auto peer_group::limit_to_send( exchange::target_ref const& ref ) const
-    -> told_limit
+    -> limit_update
 {
     auto const now = scheduler_.now();
     auto const held = load_table_.find_lifetime( ref )->limit.current_report();
@@ -165,7 +165,7 @@
 }
 
 auto peer_group::crash_to_send( exchange::crashed_run const& what ) const
-    -> told_crash
+    -> crash_update
 {
     return { what.content, what.target,
              core::milliseconds_of( scheduler_.now() - what.at ) };
