--- a/src/pollenstream/peers/peer_group_targets.cpp
+++ b/src/pollenstream/peers/peer_group_targets.cpp
@@ -189,7 +189,7 @@
         crashes_.note_crash( { c.content, c.target,
                                now - std::chrono::milliseconds( c.age_ms ) } );
     for ( auto const content : message.quarantined )
-        crashes_.prove( content );
+        crashes_.confirm( content );
     auto broadcast = base_message();
     for ( auto const content : message.cleared )
     {
--- a/src/pollenstream/peers/quarantine.cpp
+++ b/src/pollenstream/peers/quarantine.cpp
@@ -66,7 +66,7 @@
                                              context_.scheduler.now() );
             else
                 context_.crashes.confirm( last.content );
-            context_.queue.poke();
+            context_.queue.schedule_round();
         } );
 }
 
@@ -84,7 +84,7 @@
         targets += ( targets.empty() ? "" : "," ) + run.target.id.str();
     log_change( content, "quarantined", "attempts broke off at " + targets );
     quarantined_.insert( content );
-    group_.tell_quarantined( content );
+    group_.broadcast_quarantined( content );
     if ( on_changed )
         on_changed( content );
     // A call of `on_quarantined` can end other exchanges.
