--- a/tests/exchange/own_answers_test.cpp
+++ b/tests/exchange/own_answers_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_CASE(
     "retry-after without capacity grows with the number of waiting requests",
-    "[retry_after]" )
+    "[refusing]" )
 {
     auto random = std::minstd_rand( 1 );
     auto const spread = core::duration( 300ms );
@@ -27,14 +27,14 @@
 }
 
 TEST_CASE( "a split prompt comes back after twice its shortest prefill",
-           "[retry_after]" )
+           "[refusing]" )
 {
     auto random = std::minstd_rand( 1 );
     CHECK( exchange::retry_after_no_capacity( 5, 900ms, random ) >= 1800ms );
 }
 
 TEST_CASE( "requests refused together come back at different times",
-           "[retry_after]" )
+           "[refusing]" )
 {
     auto random = std::minstd_rand( 1 );
     auto times = std::set<core::duration>{};
