--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -5,7 +5,7 @@
 using namespace tests;
 using namespace std::chrono_literals;
 
-TEST_CASE( "an answer comes back with status, headers and body unchanged",
+TEST_CASE( "a target's answer is passed on with its status and body unchanged",
            "[exchange]" )
 {
     auto f = exchange_fixture{};
@@ -19,7 +19,7 @@
     CHECK( f.context.open.empty() );
 }
 
-TEST_CASE( "the key becomes the workspace and an unknown one is refused",
+TEST_CASE( "the key selects the workspace and an unknown key is refused",
            "[exchange][keys]" )
 {
     auto f = exchange_fixture{};
@@ -39,7 +39,7 @@
         CHECK( f.targets.all.empty() );
         CHECK( f.answer->whole.status == 401 );
     }
-    SECTION( "a public route asks for none" )
+    SECTION( "a public route needs no key" )
     {
         auto r = f.request( "/open/x" );
         r.key = "";
@@ -55,7 +55,8 @@
     auto f = exchange_fixture{};
     f.context.configuration = nullptr;
     f.start( f.request( "/nowhere/" ) );
-    // It may come within a moment; a refusal would cost the caller a try.
+    // A configuration may arrive any moment, while a refusal would cost the
+    // caller one of its attempts.
     f.scheduler.run( 390ms );
     CHECK_FALSE( f.answer->ended );
     f.scheduler.run( 20ms );
@@ -63,12 +64,12 @@
     CHECK_FALSE( f.answer->header( "Retry-After" ).empty() );
 }
 
-TEST_CASE( "a request waits for the first configuration of its instance",
+TEST_CASE( "a request waits for the instance's first configuration",
            "[exchange][configuration]" )
 {
     auto f = exchange_fixture{};
     f.context.configuration = nullptr;
-    SECTION( "and is served by it" )
+    SECTION( "and is served under it" )
     {
         auto const open = f.start( f.request( "/chat/x" ) );
         f.scheduler.run( 25ms );
@@ -77,12 +78,12 @@
         f.queue.poke();
         f.scheduler.run( 5ms );
         REQUIRE( f.targets.all.size() == 1 );
-        // It is not refused for want of a configuration later.
+        // The timer that refuses requests without a configuration is cancelled.
         f.scheduler.run( 500ms );
         CHECK( f.answer->whole.status == 0 );
         open->on_caller_gone();
     }
-    SECTION( "and is refused by it" )
+    SECTION( "and is refused under it" )
     {
         f.start( f.request( "/nowhere/" ) );
         f.context.configuration = sample_configuration( 1 );
@@ -90,7 +91,7 @@
         f.scheduler.run( 5ms );
         CHECK( f.answer->whole.status == 404 );
     }
-    SECTION( "unless its caller leaves" )
+    SECTION( "unless its caller disconnects" )
     {
         f.start( f.request( "/chat/x" ) )->on_caller_gone();
         f.context.configuration = sample_configuration( 1 );
@@ -101,14 +102,15 @@
     }
 }
 
-TEST_CASE( "no route is 404", "[exchange][configuration]" )
+TEST_CASE( "a request that matches no route gets 404",
+           "[exchange][configuration]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/nowhere/" ) );
     CHECK( f.answer->whole.status == 404 );
 }
 
-TEST_CASE( "a safe call that fails is sent to another target",
+TEST_CASE( "a failed safe call is retried at another target",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
@@ -124,7 +126,7 @@
     SECTION( "the target is silent" )
     {
         f.scheduler.run( 700ms );
-        // It may still answer first.
+        // The silent target may still answer first.
         CHECK_FALSE( f.targets.all[0]->cancelled );
     }
     SECTION( "a success has no digest" )
@@ -141,22 +143,22 @@
     CHECK( f.announcer.open == 0 );
 }
 
-TEST_CASE( "an unsafe call is never sent again once it may have run",
+TEST_CASE( "an unsafe call that may have run is never retried",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/unsafe/x" ) );
-    SECTION( "lost after it was sent" )
+    SECTION( "its connection is lost after it was sent" )
     {
         f.targets.all[0]->lose();
         CHECK( f.answer->whole.status == 502 );
     }
-    SECTION( "failed by its target" )
+    SECTION( "the target answers with an error" )
     {
         f.targets.all[0]->answer( 500, "no" );
         CHECK( f.answer->whole.status == 500 );
     }
-    SECTION( "silent until its time is over" )
+    SECTION( "the target is silent until the deadline" )
     {
         f.scheduler.run( 11s );
         CHECK( f.answer->whole.status == 504 );
@@ -164,12 +166,12 @@
     CHECK( f.targets.all.size() == 1 );
 }
 
-TEST_CASE( "an unsafe call that was not run goes to another target",
+TEST_CASE( "an unsafe call that was not run is sent to another target",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/unsafe/x" ) );
-    SECTION( "turned away" )
+    SECTION( "the target rejects it as not run" )
     {
         f.targets.all[0]->turn_away();
     }
@@ -177,7 +179,7 @@
     {
         f.targets.all[0]->turn_away( 421 );
     }
-    SECTION( "no connection was made" )
+    SECTION( "no connection was established" )
     {
         f.targets.all[0]->lose( false );
     }
@@ -186,7 +188,7 @@
     CHECK( f.answer->whole.status == 200 );
 }
 
-TEST_CASE( "a call that every target turned away is refused as not run",
+TEST_CASE( "a call that every target rejected as not run gets 503",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
@@ -197,7 +199,7 @@
     CHECK_FALSE( f.answer->header( "Retry-After" ).empty() );
 }
 
-TEST_CASE( "an answer that was lost and then refused elsewhere is no promise",
+TEST_CASE( "a call that was lost and then rejected by another target gets 502",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
@@ -207,7 +209,7 @@
     CHECK( f.answer->whole.status == 502 );
 }
 
-TEST_CASE( "a stream is resumed at another target with no event twice or gone",
+TEST_CASE( "a stream resumed at another target repeats and loses no event",
            "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
@@ -231,7 +233,8 @@
     CHECK( f.answer->ended );
 }
 
-TEST_CASE( "a stream with a missing event is not joined", "[exchange][stream]" )
+TEST_CASE( "a stream whose next event stays missing is aborted",
+           "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/chat/x" ) );
@@ -246,7 +249,7 @@
     CHECK_FALSE( f.answer->ended );
 }
 
-TEST_CASE( "events in front of a gap come behind the head of the answer",
+TEST_CASE( "events before a gap are sent after the head of the answer",
            "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
@@ -263,7 +266,7 @@
     CHECK( f.answer->ended );
 }
 
-TEST_CASE( "a stream that may not be resumed is cut and looks cut",
+TEST_CASE( "a lost stream that may not be resumed is aborted",
            "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
@@ -276,7 +279,8 @@
     CHECK_FALSE( f.answer->ended );
 }
 
-TEST_CASE( "half an event at the end is no whole stream", "[exchange][stream]" )
+TEST_CASE( "a stream that ends within an event is aborted",
+           "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/once/x" ) );
@@ -287,7 +291,7 @@
     CHECK( f.answer->aborted );
 }
 
-TEST_CASE( "the caller's leaving ends the work at the target",
+TEST_CASE( "a request is cancelled at its target when the caller disconnects",
            "[exchange][caller]" )
 {
     auto f = exchange_fixture{};
@@ -298,7 +302,7 @@
     CHECK( f.log.last_outcome() == "caller_gone" );
 }
 
-TEST_CASE( "a request ends when its route's time is over", "[exchange][time]" )
+TEST_CASE( "a request ends at the timeout of its route", "[exchange][time]" )
 {
     auto f = exchange_fixture{};
     auto r = f.request( "/unsafe/x" );
@@ -311,7 +315,7 @@
     CHECK( f.targets.all[0]->cancelled );
 }
 
-TEST_CASE( "a process that is about to end admits only what fits in",
+TEST_CASE( "a process that is about to end admits only what can finish before",
            "[exchange][stop]" )
 {
     auto f = exchange_fixture{};
@@ -326,20 +330,20 @@
     CHECK( f.answer->whole.status == 502 );
 }
 
-TEST_CASE( "a stop cuts nothing that came once callers knew of it",
+TEST_CASE( "once a stop is planned, a request that may outlast it is refused",
            "[exchange][stop]" )
 {
     auto f = exchange_fixture{};
     auto const now = f.scheduler.now();
     f.context.stop = exchange::planned_stop{ now, now + 4s };
-    SECTION( "a stream that may outlast it is refused" )
+    SECTION( "a stream that may outlast the stop is refused" )
     {
         f.start( f.request( "/chat/x" ) );
         CHECK( f.targets.all.empty() );
         CHECK( f.answer->whole.status == 503 );
         CHECK( f.answer->header( "Retry-After" ) == "0.000" );
     }
-    SECTION( "a call that cannot is served" )
+    SECTION( "a call that ends before the stop is served" )
     {
         auto r = f.request( "/safe/x" );
         r.time_limit = 1s;
@@ -350,7 +354,7 @@
     }
 }
 
-TEST_CASE( "a leaving target gets nothing new", "[exchange][leaving]" )
+TEST_CASE( "a leaving target gets no new requests", "[exchange][leaving]" )
 {
     auto f = exchange_fixture{};
     auto gone = make_target( "p1", "plain" );
@@ -365,7 +369,7 @@
     }
 }
 
-TEST_CASE( "callers that do not read end their own stream only",
+TEST_CASE( "a stream whose caller does not read is aborted",
            "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
@@ -378,7 +382,7 @@
     CHECK( f.targets.all[0]->cancelled );
 }
 
-TEST_CASE( "a helper that is blamed is left alone everywhere",
+TEST_CASE( "a helper that a target reports as at fault is ejected",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
@@ -405,7 +409,7 @@
     f.targets.all[1]->answer( 500, "" );
 }
 
-TEST_CASE( "an engine that is silent while it reads a long part is not left",
+TEST_CASE( "an engine that is silent during a long prefill gets no hedge",
            "[exchange][stream]" )
 {
     auto f = exchange_fixture{};
@@ -414,14 +418,14 @@
     auto const sent = f.targets.all[0];
     sent->head( 200 );
     sent->event( 0 );
-    // Another instance gives the engine a part to read that takes 3 s.
+    // Another instance places a part with a prefill of 3 s on the engine.
     auto work = exchange::open_work{};
     work.serial = 1;
     work.parts = { { sent->request.target, 3'000, 0 } };
     f.loads.add_work( core::instance_id( "other" ), work, f.scheduler.now() );
     f.scheduler.run( 2'500ms );
     CHECK( f.targets.all.size() == 1 );
-    SECTION( "but for longer than that it is" )
+    SECTION( "but it does when the silence lasts longer" )
     {
         f.scheduler.run( 2s );
         CHECK( f.targets.all.size() == 2 );
@@ -429,7 +433,7 @@
     open->on_caller_gone();
 }
 
-TEST_CASE( "a stream that goes on elsewhere waits for the answer to its ask",
+TEST_CASE( "a stream that needs another target waits for its placement",
            "[exchange][stream][repeat]" )
 {
     auto placements = held_placements{};
@@ -453,7 +457,7 @@
         f.targets.all[0]->event( i );
         f.scheduler.run( 600ms );
     }
-    // Three seconds are more than a caller waits for a first event.
+    // The request is now 3 s old; its caller waits 2 s for a first event.
     f.targets.all[0]->lose();
     REQUIRE( placements.all.size() == 2 );
     f.scheduler.run( 5ms );
@@ -468,7 +472,7 @@
     CHECK( f.announcer.served == 1 );
 }
 
-TEST_CASE( "a grant that comes when nobody waits is given back",
+TEST_CASE( "a grant for a caller that has disconnected is released",
            "[exchange][repeat]" )
 {
     auto placements = held_placements{};
@@ -484,7 +488,7 @@
     CHECK( placements.released == std::vector<std::uint64_t>{ late.serial } );
 }
 
-TEST_CASE( "a target that is granted and has begun to leave is not used",
+TEST_CASE( "a granted target that has begun to leave is not used",
            "[exchange][leaving]" )
 {
     auto placements = held_placements{};
@@ -507,7 +511,7 @@
     open->on_caller_gone();
 }
 
-TEST_CASE( "the log names what was asked for over all tries of it",
+TEST_CASE( "the log names the same content for every attempt of a request",
            "[exchange][log][content]" )
 {
     auto f = exchange_fixture{};
@@ -537,12 +541,11 @@
                 }
             },
             e );
-    // Three placed, one failed, two ended.
+    // Three placements, one failed attempt and two ends of requests.
     CHECK( named == 6 );
 }
 
-TEST_CASE( "a call that may have run is not said to have not, though no other "
-           "target is left",
+TEST_CASE( "a call that may have run gets 502 when no other target is left",
            "[exchange][refusal]" )
 {
     auto f = exchange_fixture{};
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -2,8 +2,9 @@
 
 #include <catch2/catch.hpp>
 
-// A target that says nothing for a while may live. What callers must not see
-// of its silence is the end of their answer.
+// A silent target may still be working, so its silence alone must not end the
+// caller's answer. Another target is tried beside it (a hedge), and the first
+// of the two to send an event goes on.
 
 using namespace tests;
 using namespace std::chrono_literals;
@@ -11,35 +12,36 @@
 namespace
 {
 
-/// With the above, more than callers wait for a first event.
-constexpr auto rest_of_patience = core::duration( 1'200ms );
+/// Added to `past_silence_timeout`, exceeds the 2 s that a caller waits for an
+/// event.
+constexpr auto remaining_patience = core::duration( 1'200ms );
 
 constexpr auto three_events =
     "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n";
 
 }
 
-TEST_CASE( "an answer that has begun is not ended by its target's silence",
+TEST_CASE( "an answer that has begun survives the silence of its target",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
-    SECTION( "where no other has room" )
+    SECTION( "no other target has capacity" )
     {
         s.fall_silent();
-        s.f.scheduler.run( rest_of_patience );
+        s.f.scheduler.run( remaining_patience );
     }
-    SECTION( "where no repeat is left in the budget" )
+    SECTION( "the retry budget is empty" )
     {
         s.f.retries.set_allowance( { 0, 0, 10s } );
         s.fall_silent();
     }
-    SECTION( "where another place is refused" )
+    SECTION( "the placement at another target is refused" )
     {
         s.fall_silent();
         REQUIRE( s.placements.all.size() == 2 );
         s.placements.all[1].listener->on_refused( { "too_large", 0ms } );
     }
-    SECTION( "where its content is quarantined" )
+    SECTION( "its content is quarantined" )
     {
         auto const content = s.placements.all[0].request.content;
         for ( auto const* id : { "e1", "e2", "e3" } )
@@ -58,16 +60,15 @@
     CHECK( s.f.log.last_outcome() == "served" );
 }
 
-TEST_CASE(
-    "a call is not ended by its target's silence where there is no other",
-    "[exchange][silence]" )
+TEST_CASE( "a call that cannot be retried survives the silence of its target",
+           "[exchange][silence]" )
 {
     auto f = exchange_fixture{};
-    SECTION( "no other target" )
+    SECTION( "there is no other target" )
     {
         f.loads.mark_gone( core::target_id( "p2" ) );
     }
-    SECTION( "no repeat left in the budget" )
+    SECTION( "the retry budget is empty" )
     {
         f.retries.set_allowance( { 0, 0, 10s } );
     }
@@ -79,8 +80,9 @@
     CHECK( f.answer->whole.status == 200 );
 }
 
-TEST_CASE( "an answer that has begun waits for room until its time is over",
-           "[exchange][silence]" )
+TEST_CASE(
+    "an answer that has begun waits for capacity beyond its caller's patience",
+    "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.first().head( 200 );
@@ -100,9 +102,9 @@
     CHECK( s.f.answer->ended );
 }
 
-TEST_CASE( "of a silent target and the place found instead, the first to speak "
-           "goes on",
-           "[exchange][silence]" )
+TEST_CASE(
+    "of a silent target and its hedge, the first to send an event goes on",
+    "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.fall_silent();
@@ -111,13 +113,13 @@
     auto& second = *s.f.targets.all[1];
     CHECK( second.request.text->find( "after 2" ) != std::string::npos );
     CHECK_FALSE( s.first().cancelled );
-    SECTION( "the silent one" )
+    SECTION( "the silent target is first" )
     {
         s.first().event( 3 );
         CHECK( second.cancelled );
         s.first().complete();
     }
-    SECTION( "the other one" )
+    SECTION( "the hedge is first" )
     {
         second.head( 200 );
         CHECK_FALSE( s.first().cancelled );
@@ -130,25 +132,25 @@
     CHECK( s.f.announcer.open == 0 );
 }
 
-TEST_CASE( "a silent target that does not go on ends no other place",
+TEST_CASE( "a silent target that fails does not end its hedge",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.fall_silent();
     s.grant( "m2" );
     REQUIRE( s.f.targets.all.size() == 2 );
-    SECTION( "it breaks off in the middle of an event" )
+    SECTION( "its connection is lost within an event" )
     {
         s.first().listener->on_body( "id: 3\nda" );
         CHECK_FALSE( s.at( 1 ).cancelled );
         s.first().lose();
     }
-    SECTION( "it ends in the middle of an event" )
+    SECTION( "its answer ends within an event" )
     {
         s.first().listener->on_body( "id: 3\nda" );
         s.first().complete();
     }
-    SECTION( "it leaves events out" )
+    SECTION( "it skips events" )
     {
         s.first().event( 4 );
         CHECK( s.first().cancelled );
@@ -162,7 +164,7 @@
     CHECK( s.f.announcer.open == 0 );
 }
 
-TEST_CASE( "a silent call that ends without its digest ends no other one",
+TEST_CASE( "a silent call that ends without a digest does not end its hedge",
            "[exchange][silence]" )
 {
     auto f = exchange_fixture{};
@@ -176,7 +178,7 @@
     CHECK( f.answer->whole.status == 200 );
 }
 
-TEST_CASE( "where the place found instead fails, the silent target may go on",
+TEST_CASE( "when the hedge fails, the silent target may go on",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
@@ -184,15 +186,15 @@
     s.grant( "m2" );
     REQUIRE( s.f.targets.all.size() == 2 );
     auto& second = *s.f.targets.all[1];
-    SECTION( "it breaks off" )
+    SECTION( "its connection is lost" )
     {
         second.lose();
     }
-    SECTION( "it turns the request away" )
+    SECTION( "it rejects the request as not run" )
     {
         second.turn_away();
     }
-    SECTION( "it answers with a failure" )
+    SECTION( "it answers with an error" )
     {
         second.answer( 500, "no" );
     }
@@ -200,7 +202,7 @@
     {
         second.answer( 404, "no" );
     }
-    SECTION( "its events leave some out" )
+    SECTION( "it skips events of the stream" )
     {
         second.head( 200 );
         second.event( 4 );
@@ -214,9 +216,9 @@
     CHECK( s.f.announcer.open == 0 );
 }
 
-TEST_CASE( "a place that is found after the silent target has spoken is given "
-           "back",
-           "[exchange][silence]" )
+TEST_CASE(
+    "a grant is released when the silent target has sent an event before it",
+    "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.fall_silent();
@@ -229,9 +231,10 @@
     CHECK( s.f.answer->ended );
 }
 
-TEST_CASE( "memory that is found after the silent target has spoken is given "
-           "back",
-           "[exchange][silence][reservation]" )
+TEST_CASE(
+    "a memory reservation is released when the silent target has sent an "
+    "event before it",
+    "[exchange][silence][reservation]" )
 {
     auto s = held_stream{};
     s.fall_silent();
@@ -252,18 +255,18 @@
     CHECK( s.f.announcer.open == 0 );
 }
 
-TEST_CASE( "a silent target that breaks after all leaves what is looked for",
+TEST_CASE( "the loss of a silent target leaves its hedge running",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.fall_silent();
-    SECTION( "before a place is found" )
+    SECTION( "before the hedge is placed" )
     {
         s.first().lose();
-        s.f.scheduler.run( rest_of_patience );
+        s.f.scheduler.run( remaining_patience );
         s.grant( "m2" );
     }
-    SECTION( "after it" )
+    SECTION( "after the hedge is placed" )
     {
         s.grant( "m2" );
         s.first().lose();
@@ -279,21 +282,22 @@
     CHECK( s.f.announcer.crashed.size() == 1 );
 }
 
-TEST_CASE( "a request that has heard nothing is told before its caller leaves, "
-           "once its silent target is lost",
-           "[exchange][silence]" )
+TEST_CASE(
+    "a request without any event is refused before its caller gives up, once "
+    "its silent target is lost",
+    "[exchange][silence]" )
 {
     auto s = held_stream{};
     s.f.scheduler.run( 1'500ms );
     REQUIRE( s.placements.all.size() == 2 );
-    SECTION( "at the end of its patience" )
+    SECTION( "the target is lost before the refusal is due" )
     {
         s.first().lose();
         s.f.scheduler.run( 340ms );
         CHECK_FALSE( s.f.answer->ended );
         s.f.scheduler.run( 20ms );
     }
-    SECTION( "or at once behind it" )
+    SECTION( "the target is lost when the refusal is overdue" )
     {
         s.f.scheduler.run( 450ms );
         CHECK_FALSE( s.f.answer->ended );
@@ -302,16 +306,16 @@
     CHECK( s.f.answer->whole.status == 502 );
 }
 
-TEST_CASE( "a repeat is taken from the budget when it is sent",
+TEST_CASE( "a retry is taken from the budget when it is sent",
            "[exchange][silence][budget]" )
 {
     auto s = held_stream{};
     auto const model = core::service_id( "model" );
-    // One repeat for this instance, whatever is asked for.
+    // One retry for this instance, independent of the number of requests.
     s.f.retries.set_allowance( { 0, 1.4, 10s } );
     s.fall_silent();
     REQUIRE( s.placements.all.size() == 2 );
-    SECTION( "not before, so that others may use it" )
+    SECTION( "not before, so that other requests may use it" )
     {
         CHECK( s.f.retries.take( model, s.f.scheduler.now() ) );
         s.grant( "m2" );
@@ -319,7 +323,7 @@
         CHECK( s.placements.released.size() == 1 );
         CHECK_FALSE( s.first().cancelled );
     }
-    SECTION( "not where it was not needed" )
+    SECTION( "not at all when the silent target goes on" )
     {
         s.first().event( 3 );
         CHECK( s.f.retries.take( model, s.f.scheduler.now() ) );
@@ -335,7 +339,7 @@
     }
 }
 
-TEST_CASE( "a place that is had as the time ends is given back",
+TEST_CASE( "a grant that comes at the deadline is released",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
@@ -346,7 +350,7 @@
     CHECK( s.placements.released.size() == 1 );
 }
 
-TEST_CASE( "each target reached beyond the first counts as one repeat",
+TEST_CASE( "each attempt after the first counts as one retry",
            "[exchange][silence][metrics]" )
 {
     auto s = held_stream{};
@@ -358,7 +362,7 @@
     CHECK( s.f.context.counters.retries.value() == 2 );
 }
 
-TEST_CASE( "one silence counts as one failure of its target",
+TEST_CASE( "one period of silence counts as one failure of its target",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
@@ -367,11 +371,11 @@
     s.f.scheduler.run( 6s );
     CHECK( s.f.announcer.failed.size() == 1 );
     s.first().event( 3 );
-    s.f.scheduler.run( longer_than_tolerated );
+    s.f.scheduler.run( past_silence_timeout );
     CHECK( s.f.announcer.failed.size() == 2 );
 }
 
-TEST_CASE( "a call's failure at the second target is passed on at once",
+TEST_CASE( "an error answer of a call's hedge is passed on at once",
            "[exchange][silence]" )
 {
     auto f = exchange_fixture{};
@@ -385,7 +389,7 @@
     CHECK( f.announcer.open == 0 );
 }
 
-TEST_CASE( "an answer that has begun outlasts targets that take no connection",
+TEST_CASE( "an answer that has begun survives targets that refuse connections",
            "[exchange][silence]" )
 {
     auto s = held_stream{};
@@ -410,14 +414,15 @@
     CHECK( s.f.answer->ended );
 }
 
-TEST_CASE( "a content that is quarantined starts at no other place, and its "
-           "silent run may go on",
-           "[exchange][silence][content]" )
+TEST_CASE(
+    "quarantined content starts at no other target, and its silent attempt "
+    "may go on",
+    "[exchange][silence][content]" )
 {
     auto s = held_stream{};
     s.fall_silent();
     auto const content = s.placements.all[0].request.content;
-    SECTION( "while the other place reads" )
+    SECTION( "while the hedge prefills" )
     {
         s.grant( "m2" );
         REQUIRE( s.f.targets.all.size() == 2 );
@@ -425,7 +430,7 @@
         CHECK( s.at( 1 ).cancelled );
         CHECK( s.f.announcer.open == 1 );
     }
-    SECTION( "while a place is asked for" )
+    SECTION( "while the hedge waits for its placement" )
     {
         s.open->on_quarantined( content );
         s.grant( "m2" );
@@ -437,7 +442,7 @@
     CHECK( s.f.answer->ended );
 }
 
-TEST_CASE( "two targets that are silent stay open both", "[exchange][silence]" )
+TEST_CASE( "two silent targets both stay open", "[exchange][silence]" )
 {
     auto s = held_stream{ 3 };
     s.fall_silent();
@@ -445,12 +450,12 @@
     REQUIRE( s.f.targets.all.size() == 2 );
     s.f.scheduler.run( 3s );
     CHECK( s.placements.all.size() == 2 );
-    SECTION( "the first one speaks" )
+    SECTION( "the first one sends an event" )
     {
         s.first().event( 3 );
         s.first().complete();
     }
-    SECTION( "the second one speaks" )
+    SECTION( "the second one sends an event" )
     {
         s.at( 1 ).head( 200 );
         s.at( 1 ).event( 3 );
@@ -459,7 +464,7 @@
     SECTION( "the first one is lost, and a third one is tried" )
     {
         s.first().lose();
-        s.f.scheduler.run( longer_than_tolerated );
+        s.f.scheduler.run( past_silence_timeout );
         REQUIRE( s.placements.all.size() == 3 );
         s.grant( "m3" );
         REQUIRE( s.f.targets.all.size() == 3 );
@@ -474,18 +479,18 @@
         CHECK( s.f.loads.find( core::target_id( id ) )->load.requests == 0 );
 }
 
-TEST_CASE( "the end of a request ends its silent target's work too",
+TEST_CASE( "the end of a request cancels its silent target too",
            "[exchange][silence][caller]" )
 {
     auto s = held_stream{};
     s.fall_silent();
     s.grant( "m2" );
     REQUIRE( s.f.targets.all.size() == 2 );
-    SECTION( "its caller leaves" )
+    SECTION( "its caller disconnects" )
     {
         s.open->on_caller_gone();
     }
-    SECTION( "its time is over" )
+    SECTION( "its deadline passes" )
     {
         s.f.scheduler.run( 10s );
     }
--- a/tests/support/held_stream.hpp
+++ b/tests/support/held_stream.hpp
@@ -8,15 +8,16 @@
 namespace tests
 {
 
-/// Silence behind an event after which another place is looked for, on the
-/// routes of the fixture.
-constexpr auto longer_than_tolerated =
+/// Exceeds the silence after an event (1 s on the routes of the fixture) at
+/// which another target is tried.
+constexpr auto past_silence_timeout =
     core::duration( std::chrono::milliseconds( 1'100 ) );
 
-/// One stream whose places a test hands out.
+/// One open stream whose placement requests the test answers. It starts at
+/// target `m1`.
 struct held_stream
 {
-    /// `max_targets`: what the route allows.
+    /// `max_targets`: targets that the routes allow per request.
     explicit held_stream( std::int64_t max_targets = 2 ) : f( placements )
     {
         auto changed = std::make_shared<exchange::route_configuration>(
@@ -34,7 +35,7 @@
     held_stream( held_stream const& ) = delete;
     auto operator=( held_stream const& ) -> held_stream& = delete;
 
-    /// Answers the last ask.
+    /// Grants `target` to the last placement request.
     auto grant( char const* target ) -> void
     {
         auto const& last = placements.all.back();
@@ -52,13 +53,13 @@
     {
         return at( 0 );
     }
-    /// The first target has sent two events and then nothing.
+    /// The first target sends two events and is silent past its timeout.
     auto fall_silent() -> void
     {
         first().head( 200 );
         first().event( 1 );
         first().event( 2 );
-        f.scheduler.run( longer_than_tolerated );
+        f.scheduler.run( past_silence_timeout );
     }
 
     held_placements placements;
