--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -173,11 +173,11 @@
     f.start( f.request( "/unsafe/x" ) );
     SECTION( "the target rejects it as not run" )
     {
-        f.targets.all[0]->turn_away();
+        f.targets.all[0]->reject();
     }
     SECTION( "another instance has the address" )
     {
-        f.targets.all[0]->turn_away( 421 );
+        f.targets.all[0]->reject( 421 );
     }
     SECTION( "no connection was established" )
     {
@@ -193,8 +193,8 @@
 {
     auto f = exchange_fixture{};
     f.start( f.request( "/unsafe/x" ) );
-    f.targets.all[0]->turn_away();
-    f.targets.all[1]->turn_away();
+    f.targets.all[0]->reject();
+    f.targets.all[1]->reject();
     CHECK( f.answer->whole.status == 503 );
     CHECK_FALSE( f.answer->header( "Retry-After" ).empty() );
 }
@@ -205,7 +205,7 @@
     auto f = exchange_fixture{};
     f.start( f.request( "/safe/x" ) );
     f.targets.all[0]->lose();
-    f.targets.all[1]->turn_away();
+    f.targets.all[1]->reject();
     CHECK( f.answer->whole.status == 502 );
 }
 
@@ -394,11 +394,11 @@
         core::to_string( f.loads.find( helper )->properties.address );
     SECTION( "named by its address" )
     {
-        f.targets.all[0]->turn_away( 503, address );
+        f.targets.all[0]->reject( 503, address );
     }
     SECTION( "named by its id" )
     {
-        f.targets.all[0]->turn_away( 503, helper.str() );
+        f.targets.all[0]->reject( 503, helper.str() );
     }
     CHECK_FALSE( f.loads.find( helper )->may_get_work( f.scheduler.now() ) );
     CHECK( f.loads.find( first )->may_get_work( f.scheduler.now() ) );
--- a/tests/exchange/placement_test.cpp
+++ b/tests/exchange/placement_test.cpp
@@ -21,7 +21,7 @@
         for ( auto i = 0; i < 18; ++i )
             loads.put( make_target( "m" + std::to_string( i ), "model" ) );
         service.id = core::service_id( "model" );
-        service.engine = engine_speed_of_users();
+        service.engine = production_engine_speed();
     }
 
     auto choose( std::int64_t tokens, core::duration gap )
@@ -102,7 +102,7 @@
 
 TEST_CASE( "prefill grows with the square of the prompt", "[placement]" )
 {
-    auto const speed = engine_speed_of_users();
+    auto const speed = production_engine_speed();
     CHECK( exchange::prefill_ms( speed, 5'000 ) ==
            Approx( 20.7 ).epsilon( 0.05 ) );
     CHECK( exchange::prefill_ms( speed, 210'000 ) ==
--- a/tests/exchange/prefill_order_test.cpp
+++ b/tests/exchange/prefill_order_test.cpp
@@ -33,7 +33,7 @@
     // on engines with a prefill utilization of one half. If parts may join an
     // engine during the first 250 ms of its prefill, one of the 100 reviews is
     // delayed by such a part and gets late.
-    auto speed = engine_speed_of_users();
+    auto speed = production_engine_speed();
     speed.memory_tokens = 197'200;
     speed.prefill_tokens_per_ms = 206;
     speed.prefill_ms_per_m_pairs = 0.138;
--- a/tests/exchange/silent_target_test.cpp
+++ b/tests/exchange/silent_target_test.cpp
@@ -192,7 +192,7 @@
     }
     SECTION( "it rejects the request as not run" )
     {
-        second.turn_away();
+        second.reject();
     }
     SECTION( "it answers with an error" )
     {
--- a/tests/exchange/split_prompt_load_test.cpp
+++ b/tests/exchange/split_prompt_load_test.cpp
@@ -11,10 +11,11 @@
 namespace
 {
 
-/// Engines with less memory and a slower prefill than `engine_speed_of_users`.
+/// Engines with less memory and a slower prefill than
+/// `production_engine_speed`.
 auto slow_engine_speed() -> exchange::engine_speed
 {
-    auto s = engine_speed_of_users();
+    auto s = production_engine_speed();
     s.memory_tokens = 315'000;
     s.step_ms = 0.85;
     s.prefill_tokens_per_ms = 177;
--- a/tests/support/exchange_fixture.cpp
+++ b/tests/support/exchange_fixture.cpp
@@ -8,9 +8,9 @@
 
 using namespace std::chrono_literals;
 
-auto route_of( std::string const& name,
-               exchange::request_kind kind,
-               std::string const& service ) -> exchange::route
+auto make_route( std::string const& name,
+                 exchange::request_kind kind,
+                 std::string const& service ) -> exchange::route
 {
     auto r = exchange::route{};
     r.id = exchange::route_id( name );
@@ -27,7 +27,7 @@
 
 }
 
-auto engine_speed_of_users() -> exchange::engine_speed
+auto production_engine_speed() -> exchange::engine_speed
 {
     auto s = exchange::engine_speed{};
     s.slots = 16;
@@ -47,7 +47,7 @@
     using exchange::request_kind;
     auto c = std::make_shared<exchange::route_configuration>();
     c->version = core::revision( version );
-    auto chat = route_of( "chat", request_kind::stream, "model" );
+    auto chat = make_route( "chat", request_kind::stream, "model" );
     chat.resumable = true;
     auto audit = chat;
     audit.id = exchange::route_id( "audit" );
@@ -55,17 +55,17 @@
     audit.timeout = 15s;
     audit.latency_objective = 3s;
     audit.gap_objective = 800ms;
-    auto open = route_of( "open", request_kind::safe, "plain" );
+    auto open = make_route( "open", request_kind::safe, "plain" );
     open.is_public = true;
     c->routes = { chat,
                   audit,
-                  route_of( "once", request_kind::stream, "model" ),
-                  route_of( "safe", request_kind::safe, "plain" ),
-                  route_of( "unsafe", request_kind::unsafe, "plain" ),
+                  make_route( "once", request_kind::stream, "model" ),
+                  make_route( "safe", request_kind::safe, "plain" ),
+                  make_route( "unsafe", request_kind::unsafe, "plain" ),
                   open };
     auto model = exchange::service_settings{};
     model.id = core::service_id( "model" );
-    model.engine = engine_speed_of_users();
+    model.engine = production_engine_speed();
     auto plain = exchange::service_settings{};
     plain.id = core::service_id( "plain" );
     c->services = { { model.id, model }, { plain.id, plain } };
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -16,7 +16,7 @@
 namespace exchange = pollenstream::exchange;
 namespace peers = pollenstream::peers;
 
-/// What one caller has received.
+/// Records what one caller receives.
 class recorded_channel : public exchange::answer_channel
 {
 public:
@@ -48,7 +48,7 @@
         return unsent;
     }
 
-    /// Value of a header of the whole answer; empty where there is none.
+    /// Value of a header of the whole answer; empty if it is missing.
     [[nodiscard]] auto header( std::string const& name ) const -> std::string
     {
         for ( auto const& h : whole.headers )
@@ -66,24 +66,25 @@
     std::size_t unsent{ 0 };
 };
 
-/// One request as it reached a target.
+/// One request that was sent to a target; the test plays the target.
 struct sent_request
 {
     exchange::outgoing_request request;
     std::shared_ptr<exchange::attempt_listener> listener;
     bool cancelled{ false };
-    bool left{ true }; ///< bytes have been sent
+    bool bytes_sent{ true };
 
-    /// The target answers with `status`, and its digest unless told not to.
-    auto head( int status, bool seal = true ) -> void
+    /// Starts the answer; `has_digest`: it carries the target's digest.
+    auto head( int status, bool has_digest = true ) -> void
     {
         auto h = exchange::answer_head{};
         h.status = status;
-        h.has_seal = seal;
+        h.has_seal = has_digest;
         listener->on_head( std::move( h ) );
     }
-    /// The target says that it does not run the request.
-    auto turn_away( int status = 503, std::string at_fault = {} ) -> void
+    /// Answers that the request was not run; status 421 also says that another
+    /// instance has the address.
+    auto reject( int status = 503, std::string at_fault = {} ) -> void
     {
         auto h = exchange::answer_head{};
         h.at_fault = std::move( at_fault );
@@ -110,7 +111,8 @@
         listener->on_body( std::move( body ) );
         complete();
     }
-    /// The connection is lost; `sent` tells whether bytes had left.
+    /// Loses the connection; `sent`: bytes may have reached the target. If not,
+    /// no connection was established.
     auto lose( bool sent = true ) -> void
     {
         auto end = exchange::attempt_end{};
@@ -122,7 +124,7 @@
     }
 };
 
-/// Keeps what is sent, for a test to answer.
+/// Records the requests that are sent; the test answers them.
 class recorded_targets : public exchange::target_caller
 {
 public:
@@ -153,7 +155,7 @@
         }
         [[nodiscard]] auto sent() const -> bool override
         {
-            return sent_->left;
+            return sent_->bytes_sent;
         }
 
     private:
@@ -161,7 +163,7 @@
     };
 };
 
-/// Writes directions so that tests can read them.
+/// Encodes a request as text that tests can search.
 class plain_encoder : public exchange::request_encoder
 {
 public:
@@ -182,11 +184,11 @@
     }
 };
 
-/// Orders for memory; a test decides what the targets say.
+/// Records calls that reserve and release memory; the test answers them.
 class recorded_reservations : public exchange::reservation_caller
 {
 public:
-    struct order
+    struct reservation_call
     {
         exchange::reservation_place place;
         core::reservation_id id;
@@ -212,11 +214,12 @@
             released.back().callback( core::success() );
     }
 
-    bool answers_at_once{ false }; ///< every order is done at once
-    std::vector<order> reserved;
-    std::vector<order> released;
+    bool answers_at_once{ false }; ///< every call succeeds at once
+    std::vector<reservation_call> reserved;
+    std::vector<reservation_call> released;
 };
 
+/// Records what an instance announces to the others.
 class recorded_announcements : public exchange::work_announcer
 {
 public:
@@ -270,7 +273,7 @@
     std::vector<core::target_id> ejected;
 };
 
-/// An instance that is the only one.
+/// Placement transport of the only instance, which is its own coordinator.
 class no_other_instances : public peers::placement_transport
 {
 public:
@@ -293,6 +296,7 @@
     }
 };
 
+/// Records log events.
 class recorded_events : public exchange::event_log
 {
 public:
@@ -314,7 +318,7 @@
     std::vector<exchange::event> all;
 };
 
-/// What one asker has heard.
+/// Records the answers to one placement request.
 class recorded_placement : public exchange::placement_listener
 {
 public:
@@ -336,11 +340,11 @@
     int queued{ 0 };
 };
 
-/// Keeps what is asked for; a test answers when it likes.
+/// Records placement requests; the test answers them.
 class held_placements : public exchange::placement_client
 {
 public:
-    struct held
+    struct pending_request
     {
         exchange::placement_request request;
         std::shared_ptr<exchange::placement_listener> listener;
@@ -362,18 +366,20 @@
         released.push_back( serial );
     }
 
-    std::vector<held> all;
+    std::vector<pending_request> all;
     std::vector<std::uint64_t> released;
 };
 
-/// One instance with three engines and two plain targets; no network.
+/// One instance with three engines (`m1` to `m3`) and two plain targets (`p1`
+/// and `p2`), without a network.
 struct exchange_fixture
 {
     exchange_fixture();
-    /// Asks go to `placement_client` instead of the instance's own coordinator.
+    /// Placement requests go to `placement_client` instead of the instance's
+    /// own coordinator.
     explicit exchange_fixture( exchange::placement_client& placement_client );
 
-    /// A request on the route of `path`, as a caller sends it.
+    /// A caller's request for `path`; it has a prompt on routes of the model.
     auto request( std::string const& path ) -> exchange::caller_request;
     auto start( exchange::caller_request what )
         -> std::shared_ptr<exchange::exchange>;
@@ -413,15 +419,17 @@
     int last_attempt{ 0 };
 };
 
-/// Speed of the users' engines: 16 requests, 450,000 tokens, 256 tokens read
-/// in a millisecond.
-auto engine_speed_of_users() -> exchange::engine_speed;
+/// Speed of the engines in production: 16 requests at once, memory for 450,000
+/// tokens, prefill of 256 tokens per millisecond.
+auto production_engine_speed() -> exchange::engine_speed;
 
-/// Routes `/chat/` (a stream that may be resumed, pauses of 200 ms), `/audit/`
-/// (the same, pauses of 800 ms), `/once/` (a stream that may not), `/safe/`,
-/// `/unsafe/` and `/open/` (needs no key).
+/// Routes `/chat/` (resumable stream, gap objective 200 ms), `/audit/`
+/// (resumable stream, gap objective 800 ms), `/once/` (stream that is not
+/// resumable), `/safe/`, `/unsafe/` and `/open/` (safe, needs no key).
 auto sample_configuration( int version ) -> exchange::configuration_ptr;
 
+/// A target of `service` in data centre `a`, with 16 slots if it is an engine
+/// and 6 if not.
 auto make_target( std::string const& id, std::string const& service )
     -> exchange::target_properties;
 
