--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -124,7 +124,7 @@
     // What is known to be lost ends at once.
     CHECK( not_served( load.fatal ) == static_cast<int>( load.fatal.size() ) );
     CHECK( load.fatal.back()->status == 503 );
-    CHECK( load.fatal.back()->longest_try < 50ms );
+    CHECK( load.fatal.back()->longest_attempt < 50ms );
 }
 
 TEST_CASE( "a call that ends its targets reaches few of them",
@@ -237,10 +237,10 @@
     // engines.
     auto fleet = exchange_fleet( 5, 12, 2 );
     auto const store_is_away_first = GENERATE( false, true );
-    fleet.store.is_away = store_is_away_first;
+    fleet.store.is_unavailable = store_is_away_first;
     auto load = mixed_load( fleet, "/chat/", 400ms );
     load.play( 5s );
-    fleet.store.is_away = false;
+    fleet.store.is_unavailable = false;
     fleet.scheduler.run( 2s );
     auto const before = runs_of( fleet.engines, "fatal" ).size();
     CHECK( before >= crashes_that_prove );
--- a/tests/exchange/pause_test.cpp
+++ b/tests/exchange/pause_test.cpp
@@ -133,7 +133,7 @@
 {
     auto fleet = exchange_fleet( 3, 6, 2 );
     auto const first = fleet.plain.properties().front().id;
-    fleet.plain.turn_away( first, "n1", 2s );
+    fleet.plain.reject_next( first, "n1", 2s );
     auto number = 0;
     auto const start = fleet.scheduler.now();
     while ( fleet.scheduler.now() < start + 1900ms )
--- a/tests/exchange/told_limit_test.cpp
+++ b/tests/exchange/told_limit_test.cpp
@@ -20,7 +20,7 @@
     auto calls = steady_calls{ fleet, path };
     calls.play( 2s, 20ms );
     auto const limited = busiest( service );
-    service.name_limit( limited, limit );
+    service.announce_limit( limited, limit );
     auto const named = fleet.scheduler.now();
     calls.play( 12s, 20ms );
     fleet.scheduler.run( 3s );
@@ -37,7 +37,7 @@
     auto fleet = exchange_fleet( instances, 3, 3 );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
     for ( auto const& properties : service.properties() )
-        service.name_limit( properties.id, limit );
+        service.announce_limit( properties.id, limit );
     auto calls = steady_calls{ fleet, path };
     calls.play( 6s, 20ms );
     auto const settled = fleet.scheduler.now();
--- a/tests/exchange/told_limit_trouble_test.cpp
+++ b/tests/exchange/told_limit_trouble_test.cpp
@@ -15,7 +15,7 @@
     -> void
 {
     for ( auto const& properties : service.properties() )
-        service.name_limit( properties.id, per_second );
+        service.announce_limit( properties.id, per_second );
 }
 
 auto check_all( fleet_targets const& service,
@@ -35,7 +35,7 @@
 {
     auto fleet = exchange_fleet( 7, 3, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    fleet.lost_each = GENERATE( 0, 5 );
+    fleet.drop_every = GENERATE( 0, 5 );
     auto calls = steady_calls{ fleet, path };
     limit_all( calls.service(), 1.3 );
     calls.play( 4s, 20ms );
@@ -134,7 +134,7 @@
     auto calls = steady_calls{ fleet, path };
     calls.play( 2s, 40ms );
     auto const limited = busiest( calls.service() );
-    calls.service().name_limit( limited, 1.3 );
+    calls.service().announce_limit( limited, 1.3 );
     auto const named = fleet.scheduler.now();
     calls.play( 3s, 40ms );
     auto const before = count_between( calls.service().runs, limited,
@@ -154,10 +154,10 @@
     auto calls = steady_calls{ fleet, path };
     calls.play( 1s, 20ms );
     auto const limited = busiest( calls.service() );
-    calls.service().name_limit( limited, limit );
+    calls.service().announce_limit( limited, limit );
     // Others are chosen first, and have room for all.
     calls.play( 6s, 20ms );
-    calls.service().name_limit( limited, std::nullopt );
+    calls.service().announce_limit( limited, std::nullopt );
     calls.play( limit > 0 ? 8s : 20s, 20ms );
     auto const later = fleet.scheduler.now();
     calls.play( 4s, 20ms );
--- a/tests/exchange/told_state_test.cpp
+++ b/tests/exchange/told_state_test.cpp
@@ -142,7 +142,7 @@
     play( 1s );
     // The registry does not hear of it.
     auto const leaves = service.properties().front().id;
-    service.leave( leaves );
+    service.announce_leaving( leaves );
     play( 1s );
     auto const later = fleet.scheduler.now();
     play( 3s );
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -14,10 +14,10 @@
 using namespace std::chrono_literals;
 
 constexpr auto datagram_time = core::duration( 1ms );
-constexpr auto events_of_stream = 15;
-constexpr auto callers_tries = 2;
+constexpr auto events_per_stream = 15;
+constexpr auto max_caller_attempts = 2;
 constexpr auto pause_before_retry = core::duration( 60ms );
-/// Bodies that begin so end each target that runs them.
+/// Requests whose body begins with this crash each target that runs them.
 constexpr auto fatal = "fatal";
 
 auto event_text( int id ) -> std::string
@@ -37,7 +37,8 @@
     return records;
 }
 
-/// Path and body, for `fleet_targets`.
+/// Encodes the path, the last event and the body, as `fleet_targets` reads
+/// them.
 class body_encoder : public exchange::request_encoder
 {
 public:
@@ -54,7 +55,7 @@
 
 }
 
-/// One request at one target; keeps itself alive through its timer.
+/// One request at one target; its timer keeps it alive.
 class fleet_targets::run : public exchange::open_attempt,
                            public std::enable_shared_from_this<run>
 {
@@ -85,7 +86,7 @@
                    body_.starts_with( fatal ) ? run_to_crash() : answer();
                } );
     }
-    auto turn_away( core::duration pause ) -> void
+    auto reject( core::duration pause ) -> void
     {
         if ( !listener_ )
             return;
@@ -151,21 +152,21 @@
     {
         head();
         if ( streams_ )
-            return tell_event();
+            return send_event();
         listener_->on_body( "done" );
         complete();
     }
-    auto tell_event() -> void
+    auto send_event() -> void
     {
         listener_->on_body( event_text( next_ ) );
         if ( !listener_ )
             return;
-        if ( next_++ >= events_of_stream )
+        if ( next_++ >= events_per_stream )
             return complete();
         later( owner_.time.event_gap,
                [this]
                {
-                   tell_event();
+                   send_event();
                } );
     }
     auto complete() -> void
@@ -190,8 +191,8 @@
 
 fleet_targets::fleet_targets( held_scheduler& scheduler,
                               std::string service,
-                              listed on_listed,
-                              unlisted on_unlisted )
+                              listed_callback on_listed,
+                              unlisted_callback on_unlisted )
     : scheduler_( scheduler ), service_( std::move( service ) ),
       on_listed_( std::move( on_listed ) ),
       on_unlisted_( std::move( on_unlisted ) )
@@ -229,34 +230,35 @@
                           std::shared_ptr<exchange::attempt_listener> listener )
     -> std::shared_ptr<exchange::open_attempt>
 {
-    auto const which = std::make_shared<run>(
+    auto const started = std::make_shared<run>(
         *this, request.target, *request.text, std::move( listener ) );
     auto const found = targets_.find( request.target );
     if ( found == targets_.end() )
     {
-        // Nobody listens there; told after this call, as a network would.
+        // The target is gone. The error is reported after this call returns, as
+        // a network would.
         after( 1ms,
-               [which]
+               [started]
                {
-                   which->lose( false );
+                   started->lose( false );
                } );
-        return which;
+        return started;
     }
     runs.push_back(
-        { which->body(), request.target, instance, scheduler_.now() } );
+        { started->body(), request.target, instance, scheduler_.now() } );
     auto const pause = found->second.pauses.extract( instance );
     if ( !pause.empty() )
     {
         after( 1ms,
-               [which, time = pause.mapped()]
+               [started, time = pause.mapped()]
                {
-                   which->turn_away( time );
+                   started->reject( time );
                } );
-        return which;
+        return started;
     }
-    found->second.open.push_back( which );
-    which->begin();
-    return which;
+    found->second.open.push_back( started );
+    started->begin();
+    return started;
 }
 
 auto fleet_targets::probe( core::address const& address, done callback ) -> void
@@ -267,28 +269,28 @@
                      {
                          return entry.second.properties.address == address;
                      } );
-    auto const told = answers_probes ? std::optional( listens ) : std::nullopt;
+    auto const reply = answers_probes ? std::optional( listens ) : std::nullopt;
     after( 1ms,
-           [told, callback = std::move( callback )]
+           [reply, callback = std::move( callback )]
            {
-               callback( told );
+               callback( reply );
            } );
 }
 
-auto fleet_targets::leave( core::target_id const& id ) -> void
+auto fleet_targets::announce_leaving( core::target_id const& id ) -> void
 {
     targets_.at( id ).leaving = true;
 }
 
-auto fleet_targets::name_limit( core::target_id const& id,
-                                std::optional<double> per_second ) -> void
+auto fleet_targets::announce_limit( core::target_id const& id,
+                                    std::optional<double> per_second ) -> void
 {
     targets_.at( id ).limit = per_second;
 }
 
-auto fleet_targets::turn_away( core::target_id const& id,
-                               std::string const& instance,
-                               core::duration pause ) -> void
+auto fleet_targets::reject_next( core::target_id const& id,
+                                 std::string const& instance,
+                                 core::duration pause ) -> void
 {
     targets_.at( id ).pauses[instance] = pause;
 }
@@ -297,8 +299,8 @@
 {
     auto const open = std::exchange( targets_.at( id ).open, {} );
     for ( auto const& weak : open )
-        if ( auto const which = weak.lock() )
-            which->lose();
+        if ( auto const open_run = weak.lock() )
+            open_run->lose();
 }
 
 auto fleet_targets::crash( core::target_id const& id ) -> void
@@ -310,9 +312,9 @@
     targets_.erase( found );
     ++crashes;
     for ( auto const& weak : open )
-        if ( auto const which = weak.lock() )
-            which->lose();
-    after( time.until_lapse,
+        if ( auto const open_run = weak.lock() )
+            open_run->lose();
+    after( time.until_entry_expiry,
            [this, id]
            {
                std::erase_if( listed_,
@@ -322,7 +324,7 @@
                               } );
                on_unlisted_( id );
            } );
-    after( time.until_start,
+    after( time.until_replacement,
            [this]
            {
                add();
@@ -331,7 +333,7 @@
 
 auto fleet_store::list( std::string const&, batch_done callback ) -> void
 {
-    callback( core::error{ core::error_code::failed, "not played" } );
+    callback( core::error{ core::error_code::failed, "not simulated" } );
 }
 
 auto fleet_store::watch( std::string const&,
@@ -339,7 +341,7 @@
                          core::duration,
                          batch_done callback ) -> void
 {
-    callback( core::error{ core::error_code::failed, "not played" } );
+    callback( core::error{ core::error_code::failed, "not simulated" } );
 }
 
 auto fleet_store::put( std::string const& key,
@@ -347,17 +349,17 @@
                        ports::lease_id,
                        done callback ) -> void
 {
-    if ( is_away )
+    if ( is_unavailable )
         return callback( core::error{ core::error_code::timed_out, "away" } );
     ++writes;
     records[key] = value;
-    fleet_.tell_record( key, value );
+    fleet_.deliver_record( key, value );
     callback( core::success() );
 }
 
 auto fleet_store::grant_lease( core::duration, lease_done callback ) -> void
 {
-    if ( is_away )
+    if ( is_unavailable )
         return callback( core::error{ core::error_code::timed_out, "away" } );
     callback( ports::lease_id( 1 ) );
 }
@@ -402,9 +404,9 @@
                std::shared_ptr<exchange::attempt_listener> listener )
         -> std::shared_ptr<exchange::open_attempt> override
     {
-        auto& where = fleet_.targets_of( request.address );
-        return where.send( instance_, std::move( request ),
-                           std::move( listener ) );
+        auto& service = fleet_.targets_of( request.address );
+        return service.send( instance_, std::move( request ),
+                             std::move( listener ) );
     }
 
     auto probe( core::address const& address, done callback ) -> void override
@@ -517,7 +519,7 @@
         ->start();
 }
 
-/// A caller with its tries.
+/// One attempt of a caller, which is retried after a failure where allowed.
 class exchange_fleet::caller : public recorded_channel
 {
 public:
@@ -540,19 +542,20 @@
     }
 
 private:
-    auto end( int status, bool has_not_run ) -> void
+    auto end( int status, bool was_not_run ) -> void
     {
         call_->status = status;
         call_->served = status == 200;
-        call_->longest_try =
-            std::max( call_->longest_try, fleet_.scheduler.now() - began_ );
-        auto const may_repeat = has_not_run ||
-                                call_->path.starts_with( "/chat/" ) ||
-                                call_->path.starts_with( "/safe/" );
-        if ( call_->served || !may_repeat || call_->tries >= callers_tries )
+        call_->longest_attempt =
+            std::max( call_->longest_attempt, fleet_.scheduler.now() - began_ );
+        auto const may_retry = was_not_run ||
+                               call_->path.starts_with( "/chat/" ) ||
+                               call_->path.starts_with( "/safe/" );
+        if ( call_->served || !may_retry ||
+             call_->attempts >= max_caller_attempts )
             return;
         auto const next =
-            ( call_->tries + fleet_.last_attempt_ ) % fleet_.size();
+            ( call_->attempts + fleet_.last_attempt_ ) % fleet_.size();
         fleet_.calls_.push_back(
             fleet_.scheduler.call_after( pause_before_retry,
                                          [&fleet = fleet_, call = call_, next]
@@ -626,66 +629,66 @@
 
 auto exchange_fleet::restart( int number ) -> void
 {
-    auto& place = instances_.at( static_cast<std::size_t>( number ) );
-    place = std::make_unique<fleet_instance>( *this, number + 1,
-                                              ++last_incarnation_ );
-    silent_.erase( place->ip );
+    auto& instance = instances_.at( static_cast<std::size_t>( number ) );
+    instance = std::make_unique<fleet_instance>( *this, number + 1,
+                                                 ++last_incarnation_ );
+    disconnected_.erase( instance->ip );
     for ( auto const* service : { &engines, &plain } )
         for ( auto const& properties : service->properties() )
-            place->loads.put( properties );
+            instance->loads.put( properties );
     for ( auto const& [key, value] : store.records )
-        place->records.take( key, value );
+        instance->records.take( key, value );
 }
 
-auto exchange_fleet::tell_record( std::string const& key,
-                                  std::string const& value ) -> void
+auto exchange_fleet::deliver_record( std::string const& key,
+                                     std::string const& value ) -> void
 {
-    calls_.push_back(
-        scheduler.call_after( datagram_time,
-                              [this, key, value]
-                              {
-                                  for ( auto const& one : instances_ )
-                                      if ( one && !silent_.contains( one->ip ) )
-                                          one->records.take( key, value );
-                              } ) );
+    calls_.push_back( scheduler.call_after(
+        datagram_time,
+        [this, key, value]
+        {
+            for ( auto const& one : instances_ )
+                if ( one && !disconnected_.contains( one->ip ) )
+                    one->records.take( key, value );
+        } ) );
 }
 
 auto exchange_fleet::kill( int number ) -> void
 {
-    auto& place = instances_.at( static_cast<std::size_t>( number ) );
-    if ( !place )
+    auto& instance = instances_.at( static_cast<std::size_t>( number ) );
+    if ( !instance )
         return;
-    silent_.insert( place->ip );
-    auto const open =
-        std::vector( place->context.open.begin(), place->context.open.end() );
-    for ( auto* const which : open )
-        which->on_caller_gone();
-    place.reset();
+    disconnected_.insert( instance->ip );
+    auto const open = std::vector( instance->context.open.begin(),
+                                   instance->context.open.end() );
+    for ( auto* const request : open )
+        request->on_caller_gone();
+    instance.reset();
 }
 
-auto exchange_fleet::cut( int number, bool is_cut ) -> void
+auto exchange_fleet::cut( int number, bool is_disconnected ) -> void
 {
     auto const& ip = at( number ).ip;
-    if ( is_cut )
-        silent_.insert( ip );
+    if ( is_disconnected )
+        disconnected_.insert( ip );
     else
-        silent_.erase( ip );
+        disconnected_.erase( ip );
 }
 
 auto exchange_fleet::deliver( std::string const& from,
                               std::string const& to,
                               std::string bytes ) -> void
 {
-    if ( silent_.contains( from ) || silent_.contains( to ) )
+    if ( disconnected_.contains( from ) || disconnected_.contains( to ) )
         return;
-    if ( lost_each > 0 && ++delivered_ % lost_each == 0 )
+    if ( drop_every > 0 && ++datagrams_ % drop_every == 0 )
         return;
     calls_.push_back( scheduler.call_after(
         datagram_time,
         [this, to, bytes = std::move( bytes )]
         {
             for ( auto const& one : instances_ )
-                if ( one && one->ip == to && !silent_.contains( to ) )
+                if ( one && one->ip == to && !disconnected_.contains( to ) )
                     return one->group.on_datagram( bytes );
         } ) );
 }
@@ -699,36 +702,36 @@
 auto exchange_fleet::call( int number, std::string path, std::string body )
     -> std::shared_ptr<fleet_call>
 {
-    auto const which = std::make_shared<fleet_call>();
-    which->path = std::move( path );
-    which->body = std::move( body );
-    begin_attempt( number, which );
-    return which;
+    auto const started = std::make_shared<fleet_call>();
+    started->path = std::move( path );
+    started->body = std::move( body );
+    begin_attempt( number, started );
+    return started;
 }
 
 auto exchange_fleet::begin_attempt( int number,
-                                    std::shared_ptr<fleet_call> const& which )
+                                    std::shared_ptr<fleet_call> const& call )
     -> void
 {
-    auto& where = instances_.at( static_cast<std::size_t>( number ) );
-    ++which->tries;
-    if ( !where )
+    auto& instance = instances_.at( static_cast<std::size_t>( number ) );
+    ++call->attempts;
+    if ( !instance )
     {
-        which->status = 0;
+        call->status = 0;
         return;
     }
     auto r = exchange::caller_request{};
     r.id = exchange::attempt_id( std::to_string( ++last_attempt_ ) );
     r.method = "POST";
-    r.target = which->path;
+    r.target = call->path;
     r.host = "host";
     r.key = "key";
-    r.body = which->body;
+    r.body = call->body;
     r.time_limit = 10s;
     r.received = scheduler.now();
-    if ( is_stream( which->path ) )
+    if ( is_stream( call->path ) )
         r.prompt = exchange::prompt_properties{ 5'000, 1'600, 0 };
-    where->start( std::move( r ), std::make_shared<caller>( *this, which ) );
+    instance->start( std::move( r ), std::make_shared<caller>( *this, call ) );
 }
 
 }
--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -17,19 +17,19 @@
 namespace tests
 {
 
-/// One run at a target of the fleet.
+/// One request that ran at a target of the fleet.
 struct fleet_run
 {
     std::string body;
     core::target_id target;
-    std::string instance; ///< that sent it
+    std::string instance; ///< the instance that sent it
     core::instant sent_at;
 };
 
-/// Targets of one service, shared by the instances of an `exchange_fleet`. A
-/// request begins to run some time after it has come and ends its target when
-/// it has run for a moment, if its body says so. The connections of a target
-/// that ends are closed, its entry lapses later, and another one starts.
+/// Simulated targets of one service, shared by the instances of an
+/// `exchange_fleet`. A request whose body begins with "fatal" crashes its
+/// target shortly after it has begun to run. A crash closes the target's
+/// connections; its registry entry expires later, and a replacement starts.
 class fleet_targets : public exchange::target_probe
 {
 public:
@@ -38,18 +38,19 @@
         core::duration prefill{ std::chrono::milliseconds( 60 ) };
         core::duration until_crash{ std::chrono::milliseconds( 80 ) };
         core::duration event_gap{ std::chrono::milliseconds( 40 ) };
-        core::duration until_lapse{ std::chrono::milliseconds( 2'500 ) };
-        core::duration until_start{ std::chrono::milliseconds( 3'000 ) };
+        core::duration until_entry_expiry{ std::chrono::milliseconds( 2'500 ) };
+        core::duration until_replacement{ std::chrono::milliseconds( 3'000 ) };
     };
 
-    /// Told of each target that appears in or vanishes from the registry.
-    using listed = std::function<void( exchange::target_properties const& )>;
-    using unlisted = std::function<void( core::target_id const& )>;
+    /// Called for each target that is added to or removed from the registry.
+    using listed_callback =
+        std::function<void( exchange::target_properties const& )>;
+    using unlisted_callback = std::function<void( core::target_id const& )>;
 
     fleet_targets( held_scheduler& scheduler,
                    std::string service,
-                   listed on_listed,
-                   unlisted on_unlisted );
+                   listed_callback on_listed,
+                   unlisted_callback on_unlisted );
     ~fleet_targets() override;
     fleet_targets( fleet_targets const& ) = delete;
     auto operator=( fleet_targets const& ) -> fleet_targets& = delete;
@@ -60,19 +61,19 @@
                std::shared_ptr<exchange::attempt_listener> listener )
         -> std::shared_ptr<exchange::open_attempt>;
     auto probe( core::address const& address, done callback ) -> void override;
-    /// Ends the target, whatever runs there.
+    /// Crashes the target together with all requests that run there.
     auto crash( core::target_id const& id ) -> void;
-    /// From now on the target's answers say that it leaves.
-    auto leave( core::target_id const& id ) -> void;
-    /// The target turns the next request of `instance` away and asks it for a
-    /// pause.
-    auto turn_away( core::target_id const& id,
-                    std::string const& instance,
-                    core::duration pause ) -> void;
-    /// From now on the target's answers name this limit, or none.
-    auto name_limit( core::target_id const& id,
-                     std::optional<double> per_second ) -> void;
-    /// Breaks all that is open at the target, which lives on.
+    /// From now on the target's answers announce that it is leaving.
+    auto announce_leaving( core::target_id const& id ) -> void;
+    /// The target rejects the next request of `instance` as not run and asks
+    /// the instance for a pause.
+    auto reject_next( core::target_id const& id,
+                      std::string const& instance,
+                      core::duration pause ) -> void;
+    /// From now on the target's answers announce this limit, or none.
+    auto announce_limit( core::target_id const& id,
+                         std::optional<double> per_second ) -> void;
+    /// Closes all connections of the target, which keeps running.
     auto cut( core::target_id const& id ) -> void;
 
     [[nodiscard]] auto properties() const
@@ -89,12 +90,12 @@
 
 private:
     class run;
-    struct one_target
+    struct target_state
     {
         exchange::target_properties properties;
         std::vector<std::weak_ptr<run>> open;
         bool leaving{ false };
-        std::map<std::string, core::duration> pauses; ///< to ask for
+        std::map<std::string, core::duration> pauses; ///< to request
         std::optional<double> limit;                  ///< requests a second
     };
 
@@ -102,9 +103,9 @@
 
     held_scheduler& scheduler_;
     std::string service_;
-    listed on_listed_;
-    unlisted on_unlisted_;
-    std::map<core::target_id, one_target> targets_;
+    listed_callback on_listed_;
+    unlisted_callback on_unlisted_;
+    std::map<core::target_id, target_state> targets_;
     std::vector<exchange::target_properties> listed_; ///< in the registry
     std::vector<std::unique_ptr<ports::scheduled_call>> calls_;
     int last_{ 0 };
@@ -112,7 +113,7 @@
 
 class exchange_fleet;
 
-/// The platform's store, as far as instances write to it; may be away.
+/// The platform's store, of which only writes and leases are simulated.
 class fleet_store : public ports::record_store
 {
 public:
@@ -133,7 +134,7 @@
     auto renew_lease( ports::lease_id lease, done callback ) -> void override;
     auto end_lease( ports::lease_id lease, done callback ) -> void override;
 
-    bool is_away{ false };
+    bool is_unavailable{ false };
     int writes{ 0 };
     std::map<std::string, std::string> records;
 
@@ -141,7 +142,8 @@
     exchange_fleet& fleet_;
 };
 
-/// One instance of a fleet: all that places and sends, before stand-ins.
+/// One instance of a fleet: the real placement, gossip and exchanges in front
+/// of simulated targets, network and store.
 class fleet_instance
 {
 public:
@@ -189,19 +191,19 @@
     pollenstream::registry::quarantine_records records;
 };
 
-/// What became of one request over all tries of its caller.
+/// Outcome of one request over all attempts of its caller.
 struct fleet_call
 {
     std::string path;
     std::string body;
-    int tries{ 0 };
-    int status{ 0 }; ///< of the last try; 0 where its stream was cut
+    int attempts{ 0 };
+    int status{ 0 }; ///< of the last attempt; 0 if its stream was aborted
     bool served{ false };
-    core::duration longest_try{ 0 };
+    core::duration longest_attempt{ 0 };
 };
 
-/// Some instances in held time that hear each other by datagrams and share the
-/// targets of two services, `model` and `plain`.
+/// Several instances on one simulated clock. They exchange datagrams and share
+/// the targets of two services, `model` and `plain`.
 class exchange_fleet
 {
 public:
@@ -210,17 +212,19 @@
     exchange_fleet( exchange_fleet const& ) = delete;
     auto operator=( exchange_fleet const& ) -> exchange_fleet& = delete;
 
-    /// A caller asks instance `at`, and another one once more where that fails
-    /// and the request may be sent again.
-    auto call( int at, std::string path, std::string body )
+    /// Sends a request to instance `number`. If it fails and may be retried,
+    /// the caller retries it once at another instance.
+    auto call( int number, std::string path, std::string body )
         -> std::shared_ptr<fleet_call>;
-    /// The instance ends; what it has open breaks.
+    /// Ends the instance; its open requests are lost.
     auto kill( int number ) -> void;
-    /// Starts it anew; it knows nothing of before.
+    /// Starts the instance with the registry's targets and the store's records,
+    /// and no other state of its predecessor.
     auto restart( int number ) -> void;
-    /// Nothing passes between the instance and the others.
-    auto cut( int number, bool is_cut ) -> void;
-    [[nodiscard]] auto lives( int number ) const -> bool
+    /// Disconnects the instance from the other instances and the records of the
+    /// store, or reconnects it.
+    auto cut( int number, bool is_disconnected ) -> void;
+    [[nodiscard]] auto is_running( int number ) const -> bool
     {
         return instances_.at( static_cast<std::size_t>( number ) ) != nullptr;
     }
@@ -238,11 +242,11 @@
                   std::string bytes ) -> void;
     auto targets_of( core::address const& address ) -> fleet_targets&;
 
-    /// All instances hear of a record that was written.
-    auto tell_record( std::string const& key, std::string const& value )
+    /// Passes a record that was written to all connected instances.
+    auto deliver_record( std::string const& key, std::string const& value )
         -> void;
 
-    int lost_each{ 0 }; ///< of so many datagrams one is lost; 0: none
+    int drop_every{ 0 }; ///< every n-th datagram is lost; 0: none
     held_scheduler scheduler;
     fleet_store store{ *this };
     fleet_targets engines;
@@ -254,15 +258,15 @@
 
     auto list( exchange::target_properties const& properties ) -> void;
     auto unlist( core::target_id const& id ) -> void;
-    auto begin_attempt( int number, std::shared_ptr<fleet_call> const& which )
+    auto begin_attempt( int number, std::shared_ptr<fleet_call> const& call )
         -> void;
 
     std::vector<std::unique_ptr<fleet_instance>> instances_;
-    std::set<std::string> silent_;
+    std::set<std::string> disconnected_; ///< IP addresses
     std::vector<std::unique_ptr<ports::scheduled_call>> calls_;
     int last_attempt_{ 0 };
     int last_incarnation_{ 0 };
-    int delivered_{ 0 };
+    int datagrams_{ 0 };
 };
 
 }
--- a/tests/support/limited_load.cpp
+++ b/tests/support/limited_load.cpp
@@ -80,7 +80,7 @@
 auto first_coordinator( exchange_fleet& fleet ) -> int
 {
     for ( auto i = 0; i < fleet.size(); ++i )
-        if ( fleet.lives( i ) && fleet.at( i ).group.own_duty() == 0 )
+        if ( fleet.is_running( i ) && fleet.at( i ).group.own_duty() == 0 )
             return i;
     return -1;
 }
