--- a/tests/sessions/silent_engine_test.cpp
+++ b/tests/sessions/silent_engine_test.cpp
@@ -128,7 +128,7 @@
     speaks.write( 2 );
     speaks.complete( 3 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
     CHECK( s.engines.open_attempts() == 0 );
 }
 
@@ -146,7 +146,7 @@
     second.write( 1 );
     second.complete( 2 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "an engine that has not begun may not know of a request yet",
@@ -161,7 +161,7 @@
     s.stream( 0 ).write( 0 );
     s.stream( 0 ).complete( 1 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "an answer that has begun is not ended by its engine's silence",
@@ -176,9 +176,9 @@
     auto s = begun_answer( lack == "no other engine" ? 1 : 2, profile );
     auto const silent = s.stream( 0 ).engine;
     if ( lack == "no budget" )
-        s.use_retries_up();
+        s.exhaust_retry_budget();
     if ( lack == "no memory" )
-        s.say_memory( silent == "a" ? "b" : "a", 400'000 );
+        s.report_memory( silent == "a" ? "b" : "a", 400'000 );
     s.time.advance( two_silences );
     CHECK_FALSE( s.answer->end() );
     CHECK( s.engines.open_attempts() == 1 );
@@ -196,7 +196,7 @@
         CHECK( s.answer->end()->reason == "deadline" );
         CHECK( s.last_of( silent ).cancelled );
     }
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
     CHECK( s.engines.open_attempts() == 0 );
 }
 
@@ -215,7 +215,7 @@
     s.stream( 5 ).write( 2 );
     s.stream( 5 ).complete( 3 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "of a silent engine and the one found instead, the first to speak "
@@ -232,7 +232,7 @@
     CHECK( second.request.attempt == core::attempt_number( 2 ) );
     CHECK_FALSE( s.last_of( silent ).cancelled );
     CHECK( s.engines.open_attempts() == 2 );
-    CHECK( s.counted_work() == 2 );
+    CHECK( s.counted_open_requests() == 2 );
 
     SECTION( "the silent one" )
     {
@@ -255,11 +255,11 @@
         CHECK( s.answer->end()->reason == "deadline" );
         CHECK( s.last_of( silent ).cancelled );
         CHECK( s.last_of( second.engine ).cancelled );
-        CHECK( s.counted_work() == 0 );
+        CHECK( s.counted_open_requests() == 0 );
         return;
     }
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
     CHECK( s.engines.open_attempts() == 0 );
 }
 
@@ -282,7 +282,7 @@
     s.first_goes_on();
     CHECK( s.answer->is_complete() );
     CHECK( s.answer->text() == s.text_of( silent, silent ) );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a silent engine that breaks after all leaves the one found instead",
@@ -293,13 +293,13 @@
     REQUIRE( s.attempt( 2 ).size() == 1 );
     for ( auto const& each : s.attempt( 1 ) )
         each->lose( error_code::connection_lost );
-    CHECK( s.counted_work() == 1 );
+    CHECK( s.counted_open_requests() == 1 );
     auto& second = *s.attempt( 2 ).front();
     second.write( 1 );
     second.write( 2 );
     second.complete( 3 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "one attempt at most is open beside a silent engine",
@@ -318,7 +318,7 @@
     s.first_goes_on();
     CHECK( s.answer->is_complete() );
     CHECK( s.answer->text() == s.text_of( silent, silent ) );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a small prompt whose answer goes on elsewhere stays where it is "
@@ -340,7 +340,7 @@
     second.write( 2 );
     second.complete( 3 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled small prompt stays where it is as long as no other can "
@@ -356,7 +356,7 @@
     for ( auto const* const id : { "a", "b" } )
     {
         if ( s.target( id ) )
-            s.say_memory( id, s.memory_tokens );
+            s.report_memory( id, s.memory_tokens );
     }
     s.time.advance( 3 * stalled );
     CHECK( s.engines.all.size() == 1 );
@@ -374,7 +374,7 @@
         if ( engines == 1 )
             return;
         auto const other = s.stream( 0 ).engine == "a" ? "b" : "a";
-        s.say_memory( other, 0 );
+        s.report_memory( other, 0 );
         s.time.advance( stalled );
         REQUIRE( s.engines.all.size() == 2 );
         CHECK( s.stream( 1 ).engine == other );
@@ -384,7 +384,7 @@
         s.stream( 1 ).complete( 1 );
         CHECK( s.answer->is_complete() );
     }
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled small prompt that is sent elsewhere is answered by the "
@@ -410,7 +410,7 @@
     CHECK_FALSE( s.stream( 1 ).is_open() );
     s.stream( 0 ).complete( 1 );
     CHECK( s.answer->is_complete() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled prompt that both engines refuse is told as not run",
@@ -435,7 +435,7 @@
     }
     REQUIRE( s.answer->end() );
     CHECK( s.answer->end()->status == answer_status::not_run );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a group of engines is not ended by the silence of the one that "
@@ -463,7 +463,7 @@
     CHECK( s.answer->is_complete() );
     s.time.advance( 1min );
     CHECK( s.engines.reserved.empty() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "of a silent group and the one found instead, the first to speak "
@@ -533,7 +533,7 @@
     }
     CHECK( s.answer->is_complete() );
     CHECK( s.engines.reserved.empty() );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "an answer that has begun waits for memory until its time is over",
@@ -546,7 +546,7 @@
     auto s = begun_answer( 2, profile );
     auto const first = s.stream( 0 ).engine;
     auto const other = first == "a" ? "b" : "a";
-    s.say_memory( other, s.memory_tokens );
+    s.report_memory( other, s.memory_tokens );
     s.stream( 0 ).lose( error_code::failed );
     REQUIRE( s.engines.all.size() == 1 );
     // Less than the rest of the answer was predicted to take is left.
@@ -555,7 +555,7 @@
 
     SECTION( "which comes free" )
     {
-        s.say_memory( other, 0 );
+        s.report_memory( other, 0 );
         s.time.advance( 50ms );
         REQUIRE( s.engines.all.size() == 2 );
         s.stream( 1 ).write( 1 );
@@ -582,5 +582,5 @@
         GENERATE( error_code::unreachable, error_code::refused ) );
     REQUIRE( s.answer->end() );
     CHECK( s.answer->end()->status == answer_status::failed );
-    CHECK( s.counted_work() == 0 );
+    CHECK( s.counted_open_requests() == 0 );
 }
--- a/tests/state/configuration_test.cpp
+++ b/tests/state/configuration_test.cpp
@@ -24,7 +24,7 @@
     auto apply( std::string const& id, std::string const& text )
         -> state::change_report
     {
-        return publisher.apply( change_of( id, text ) );
+        return publisher.apply( make_change( id, text ) );
     }
 };
 
@@ -74,11 +74,11 @@
     }
     SECTION( "and told as unknown where the store is gone after the write" )
     {
-        auto cut = cut_after_head( one.store );
+        auto cut = disconnecting_store( one.store );
         auto publisher =
             state::configuration_publisher( cut, one.codec, one.holder );
         auto const report =
-            publisher.apply( change_of( "second", sample_document( 2 ) ) );
+            publisher.apply( make_change( "second", sample_document( 2 ) ) );
         CHECK( report.outcome == change_outcome::unknown );
         // Asked again with the same id, the truth comes out.
         auto const again = one.apply( "second", sample_document( 2 ) );
@@ -93,8 +93,8 @@
     auto one = one_publisher{};
     REQUIRE( one.apply( "first", sample_document( 1 ) ).outcome ==
              change_outcome::accepted );
-    auto mine = change_of( "mine", sample_document( 2 ) );
-    auto theirs = change_of( "theirs", sample_document( 3 ) );
+    auto mine = make_change( "mine", sample_document( 2 ) );
+    auto theirs = make_change( "theirs", sample_document( 3 ) );
     mine.based_on = core::revision( 1 );
     theirs.based_on = core::revision( 1 );
     CHECK( one.publisher.apply( theirs ).outcome == change_outcome::accepted );
--- a/tests/support/answered_store.hpp
+++ b/tests/support/answered_store.hpp
@@ -12,7 +12,7 @@
 namespace core = pollenstream::core;
 namespace ports = pollenstream::ports;
 
-/// A store whose answers the test gives.
+/// A store whose reads the test answers, one at a time.
 class answered_store : public ports::record_store
 {
 public:
@@ -52,7 +52,7 @@
     batch_done pending;
     int lists{ 0 };
     int watches{ 0 };
-    ports::store_revision known_at;
+    ports::store_revision known_at; ///< of the last watch
 };
 
 }
--- a/tests/support/held_scheduler.hpp
+++ b/tests/support/held_scheduler.hpp
@@ -13,7 +13,7 @@
 namespace core = pollenstream::core;
 namespace ports = pollenstream::ports;
 
-/// Time that stands still until a test moves it.
+/// A scheduler whose time stands still until a test advances it.
 class held_scheduler : public ports::scheduler
 {
 public:
@@ -31,7 +31,8 @@
         return std::make_unique<held_call>( calls_, at );
     }
 
-    /// Moves on by `time` and makes the calls that become due, in order.
+    /// Advances the time by `time` and runs the calls that become due, in
+    /// order.
     auto run( core::duration time ) -> void
     {
         auto const until = now_ + time;
--- a/tests/support/plain_instance.hpp
+++ b/tests/support/plain_instance.hpp
@@ -23,7 +23,7 @@
 namespace routing = pollenstream::routing;
 namespace sessions = pollenstream::sessions;
 
-/// A plain service whose answers are scripted; it counts what reached it.
+/// A plain service whose replies are scripted; it records the calls.
 class scripted_services : public ports::service_client
 {
 public:
@@ -51,25 +51,25 @@
     std::function<core::result<ports::service_reply>(
         ports::service_call const& )>
         on_call;                   ///< instead of scripted replies
-    std::vector<std::string> keys; ///< of the calls that came
+    std::vector<std::string> keys; ///< idempotency keys of the calls
     std::vector<done> held;        ///< calls without a scripted reply
 };
 
-/// Peers that cannot be reached, unless a test says who answers calls.
+/// Peers that are unreachable, except for calls that `on_call` answers.
 class scripted_peers : public ports::peer_client
 {
 public:
     auto exchange( core::address const&, ports::heartbeat const& )
         -> core::result<ports::heartbeat> override
     {
-        return gone();
+        return unreachable();
     }
     auto fetch_configuration( core::address const&,
                               core::revision,
                               std::vector<std::string> const& )
         -> core::result<ports::peer_configuration> override
     {
-        return gone();
+        return unreachable();
     }
     auto call( core::address const& peer, ports::forwarded_call const& what )
         -> core::result<state::call_outcome> override
@@ -77,7 +77,7 @@
         ++calls;
         if ( on_call )
             return on_call( peer, what );
-        return gone();
+        return unreachable();
     }
 
     int calls{ 0 };
@@ -86,13 +86,13 @@
         on_call;
 
 private:
-    static auto gone() -> core::error
+    static auto unreachable() -> core::error
     {
         return { core::error_code::unreachable, "refused" };
     }
 };
 
-/// One instance before two targets of a plain service.
+/// One instance in front of two targets of a plain service.
 struct plain_instance
 {
     explicit plain_instance( std::string const& name = "me",
@@ -149,7 +149,7 @@
                key;
     }
 
-    /// Its address holds the number at the end of its name, from port 1.
+    /// The port of its address is one more than the digit that ends its name.
     auto self() const -> membership::member
     {
         auto m = membership::member{};
@@ -169,21 +169,21 @@
         routing::make_policy( "predicted", 1 );
     pollenstream::admission::retry_budget retries;
     pollenstream::metrics::request_metrics metrics;
-    sessions::context shared{ { id, incarnation },
-                              time,
-                              time,
-                              engines,
-                              targets,
-                              *policy,
-                              retries,
-                              metrics };
+    sessions::context context{ { id, incarnation },
+                               time,
+                               time,
+                               engines,
+                               targets,
+                               *policy,
+                               retries,
+                               metrics };
     pollenstream::adapters::http::configuration_text_codec codec;
     state::configuration_holder holder{ codec };
     state::call_ledger ledger{ id, incarnation };
     membership::member_table members{ self(), 1 };
     scripted_services services;
     scripted_peers peers;
-    sessions::gateway gateway{ shared,
+    sessions::gateway gateway{ context,
                                holder,
                                members,
                                ledger,
--- a/tests/support/recorded_answer.hpp
+++ b/tests/support/recorded_answer.hpp
@@ -9,7 +9,7 @@
 namespace tests
 {
 
-/// A caller that keeps what it is sent.
+/// Records the answer that a caller is sent.
 class recorded_answer : public pollenstream::ports::answer_sink
 {
 public:
--- a/tests/support/scripted_engines.hpp
+++ b/tests/support/scripted_engines.hpp
@@ -13,7 +13,7 @@
 namespace tests
 {
 
-/// A connection that a test writes on in an engine's place.
+/// A stream of an engine; the test sends its events.
 class scripted_stream : public pollenstream::ports::engine_stream
 {
 public:
@@ -38,13 +38,13 @@
         listener_.reset();
     }
 
-    /// The token at `position`, which names its writer.
+    /// Sends the token at `position`; its text begins with the engine's id.
     auto write( std::int64_t position ) -> void
     {
         send( { request.request, request.attempt, position,
                 engine + std::to_string( position ) + ' ' } );
     }
-    /// The end of an answer of `tokens` tokens.
+    /// Ends the answer after `tokens` tokens.
     auto complete( std::int64_t tokens ) -> void
     {
         auto event = pollenstream::ports::engine_event{
@@ -53,6 +53,7 @@
         send( event );
         end( pollenstream::core::success() );
     }
+    /// Ends the stream with an error.
     auto lose( pollenstream::core::error_code why ) -> void
     {
         end( pollenstream::core::error{ why, "scripted" } );
@@ -84,8 +85,8 @@
     std::shared_ptr<pollenstream::ports::stream_listener> listener_;
 };
 
-/// Engines that say only what a test says for them. Memory is reserved and
-/// read into at once.
+/// Engines that send only what a test sends for them. Reservations and the
+/// prefill of parts succeed at once unless the test refuses or holds them.
 class scripted_engines : public pollenstream::ports::engine_client
 {
 public:
@@ -155,8 +156,8 @@
     }
 
     std::vector<std::shared_ptr<scripted_stream>> all;
-    std::set<std::string> reserved; ///< memory held in reservations
-    std::vector<done> fills;        ///< not answered yet
+    std::set<std::string> reserved; ///< ids of reservations that are held
+    std::vector<done> fills;        ///< callbacks of prefills that are held
     bool refuses_memory{ false };
     bool holds_fills{ false };
 
--- a/tests/support/scripted_fleet.hpp
+++ b/tests/support/scripted_fleet.hpp
@@ -7,8 +7,8 @@
 namespace tests
 {
 
-/// One instance before engines that a test speaks for, in held time. The
-/// memory that it believes them to have free is the test's to say.
+/// One instance in front of scripted engines, on a clock that the test
+/// advances. The test reports how much of the engines' memory is used.
 struct scripted_fleet
 {
     explicit scripted_fleet( int count, std::int64_t memory = 400'000 )
@@ -22,11 +22,12 @@
                                     { "127.0.0.1", 1 } } );
         targets.replace( identities, time.now() );
         for ( auto i = 0; i < count; ++i )
-            say_memory( name( i ), 0 );
+            report_memory( name( i ), 0 );
     }
     ~scripted_fleet()
     {
-        // Sessions hold references to what is below them: let them end first.
+        // Sessions hold references to the members below, so they must end
+        // first.
         time.advance( std::chrono::hours( 2 ) );
         engines.all.clear();
         engines.fills.clear();
@@ -44,8 +45,9 @@
         return targets.find( core::target_id( id ) );
     }
 
-    /// A report by which `used` tokens of the engine's memory are taken.
-    auto say_memory( std::string const& id, std::int64_t used ) -> void
+    /// Applies a load report by which `used` tokens of the engine's memory are
+    /// used.
+    auto report_memory( std::string const& id, std::int64_t used ) -> void
     {
         auto report = ports::load_report{};
         report.memory_used = used;
@@ -61,12 +63,11 @@
         wanted.workspace = core::workspace_id( "w" );
         wanted.prompt =
             std::make_shared<std::string const>( make_prompt( tokens ) );
-        std::make_shared<sessions::session>( shared, wanted, profile, answer )
+        std::make_shared<sessions::session>( context, wanted, profile, answer )
             ->start();
     }
 
-    /// Uses the whole budget of repeats up.
-    auto use_retries_up() -> void
+    auto exhaust_retry_budget() -> void
     {
         while ( retries.take() )
         {
@@ -74,7 +75,7 @@
     }
 
     /// Requests that this instance counts as open at its engines.
-    auto counted_work() -> std::int64_t
+    auto counted_open_requests() -> std::int64_t
     {
         auto open = std::int64_t{ 0 };
         for ( auto const& each : targets.all() )
@@ -95,7 +96,7 @@
         routing::make_policy( "predicted", 1 );
     pollenstream::admission::retry_budget retries;
     pollenstream::metrics::request_metrics metrics;
-    sessions::context shared{
+    sessions::context context{
         { core::instance_id( "me" ), core::incarnation( 1 ) },
         time,
         time,
--- a/tests/support/test_configuration.cpp
+++ b/tests/support/test_configuration.cpp
@@ -25,7 +25,7 @@
            "[profile often]\nservice = plain\nretries = 2\n";
 }
 
-auto change_of( std::string const& id, std::string const& text )
+auto make_change( std::string const& id, std::string const& text )
     -> state::wanted_change
 {
     auto wanted = state::wanted_change{};
@@ -45,41 +45,41 @@
         } );
 }
 
-cut_after_head::cut_after_head( ports::key_value_store& behind )
-    : behind_( behind )
+disconnecting_store::disconnecting_store( ports::key_value_store& store )
+    : store_( store )
 {
 }
 
-auto cut_after_head::get( std::string const& key )
+auto disconnecting_store::get( std::string const& key )
     -> core::result<ports::key_value>
 {
-    if ( is_cut_ )
+    if ( is_disconnected_ )
         return no_answer();
-    return behind_.get( key );
+    return store_.get( key );
 }
 
-auto cut_after_head::compare_and_swap( std::string const& key,
-                                       ports::key_version expected,
-                                       std::string const& value )
+auto disconnecting_store::compare_and_swap( std::string const& key,
+                                            ports::key_version expected,
+                                            std::string const& value )
     -> core::result<ports::key_version>
 {
-    if ( is_cut_ )
+    if ( is_disconnected_ )
         return no_answer();
-    auto const written = behind_.compare_and_swap( key, expected, value );
+    auto const written = store_.compare_and_swap( key, expected, value );
     if ( key != state::head_key )
         return written;
-    is_cut_ = true;
+    is_disconnected_ = true;
     return no_answer();
 }
 
-auto cut_after_head::watch( std::string const& key,
-                            ports::key_version known,
-                            core::duration limit )
+auto disconnecting_store::watch( std::string const& key,
+                                 ports::key_version known,
+                                 core::duration limit )
     -> core::result<ports::key_value>
 {
-    if ( is_cut_ )
+    if ( is_disconnected_ )
         return no_answer();
-    return behind_.watch( key, known, limit );
+    return store_.watch( key, known, limit );
 }
 
 }
--- a/tests/support/test_configuration.hpp
+++ b/tests/support/test_configuration.hpp
@@ -15,21 +15,22 @@
 namespace ports = pollenstream::ports;
 namespace state = pollenstream::state;
 
-/// A document with service `model`, `plain` and profile `quick-N`.
+/// A document with the services `model` and `plain`, the profile
+/// `quick-NUMBER` and profiles that do not depend on `number`.
 auto sample_document( int number ) -> std::string;
 
-auto change_of( std::string const& id, std::string const& text )
+auto make_change( std::string const& id, std::string const& text )
     -> state::wanted_change;
 
 auto has_profile( state::configuration_holder const& holder,
                   std::string const& name ) -> bool;
 
-/// A store that takes the write of the head, loses its answer, and answers
-/// nobody after it.
-class cut_after_head : public ports::key_value_store
+/// A store whose connection is lost after it has written the head of the
+/// configuration: neither that write nor any later call is answered.
+class disconnecting_store : public ports::key_value_store
 {
 public:
-    explicit cut_after_head( ports::key_value_store& behind );
+    explicit disconnecting_store( ports::key_value_store& store );
 
     auto get( std::string const& key )
         -> core::result<ports::key_value> override;
@@ -43,8 +44,8 @@
         -> core::result<ports::key_value> override;
 
 private:
-    ports::key_value_store& behind_;
-    bool is_cut_{ false };
+    ports::key_value_store& store_;
+    bool is_disconnected_{ false };
 };
 
 }
--- a/tests/support/test_fleet.cpp
+++ b/tests/support/test_fleet.cpp
@@ -27,7 +27,7 @@
 
 test_fleet::~test_fleet()
 {
-    // Sessions hold references to what is below them: let them end first.
+    // Sessions hold references to the members below, so they must end first.
     engines.run_for( 2h );
 }
 
@@ -37,7 +37,7 @@
     auto one = std::make_unique<instance>();
     one->policy = routing::make_policy( policy_, number + 1 );
     one->targets.replace( identities_, time.now() );
-    one->shared = std::make_unique<sessions::context>(
+    one->context = std::make_unique<sessions::context>(
         ports::memory_owner{
             core::instance_id( "instance-" + std::to_string( number ) ),
             core::incarnation( 1 ) },
@@ -65,7 +65,7 @@
     auto wanted = sessions::request{};
     wanted.workspace = core::workspace_id( "w" );
     wanted.prompt = std::make_shared<std::string const>( std::move( prompt ) );
-    std::make_shared<sessions::session>( *instances.front()->shared, wanted,
+    std::make_shared<sessions::session>( *instances.front()->context, wanted,
                                          profile, answer )
         ->start();
     return answer;
@@ -81,7 +81,7 @@
     wanted.workspace = core::workspace_id( "w" );
     wanted.prompt = std::make_shared<std::string const>(
         make_prompt( tokens, static_cast<int>( number ) ) );
-    std::make_shared<sessions::session>( *instances.at( number )->shared,
+    std::make_shared<sessions::session>( *instances.at( number )->context,
                                          wanted, profile, answer )
         ->start();
     return answer;
--- a/tests/support/test_fleet.hpp
+++ b/tests/support/test_fleet.hpp
@@ -22,7 +22,8 @@
 namespace sessions = pollenstream::sessions;
 namespace profiles = pollenstream::profiles;
 
-/// One instance before some fake engines, in held time.
+/// Fake engines and the instances in front of them, one at first, on a clock
+/// that the test advances.
 class test_fleet
 {
 public:
@@ -37,7 +38,7 @@
     auto send_text( std::string prompt, profiles::profile const& profile )
         -> std::shared_ptr<recorded_answer>;
 
-    /// Another instance before the same engines.
+    /// Adds an instance in front of the same engines and returns its number.
     auto add_instance() -> std::size_t;
     auto send_through( std::size_t instance,
                        std::int64_t tokens,
@@ -45,7 +46,7 @@
         -> std::shared_ptr<recorded_answer>;
 
     auto target( std::string const& id ) -> std::shared_ptr<routing::target>;
-    /// Engine that the only open request runs at.
+    /// Engine at which the first instance has an open request; empty if none.
     auto busy_engine() -> std::string;
 
     standins::held_time time;
@@ -57,7 +58,7 @@
         std::unique_ptr<routing::target_policy> policy;
         pollenstream::admission::retry_budget retries;
         pollenstream::metrics::request_metrics metrics;
-        std::unique_ptr<sessions::context> shared;
+        std::unique_ptr<sessions::context> context;
     };
     std::vector<std::unique_ptr<instance>> instances;
 
@@ -66,14 +67,14 @@
     std::string policy_;
 };
 
-/// A profile for a model with long times.
+/// Profile of a model service whose deadlines are too long to matter.
 auto patient_profile() -> profiles::profile;
 
-/// The whole answer that the stand-ins give to `prompt`.
+/// The first `tokens` tokens that fake engines answer to `prompt`.
 auto expected_answer( std::string const& prompt, std::int64_t tokens )
     -> std::string;
 
-/// A prompt of about `tokens` tokens; different seeds differ.
+/// A prompt of about `tokens` tokens; each seed gives another one.
 auto make_prompt( std::int64_t tokens, int seed = 0 ) -> std::string;
 
 }
