--- a/tests/exchange/exchange_test.cpp
+++ b/tests/exchange/exchange_test.cpp
@@ -382,7 +382,7 @@
     CHECK( f.targets.all[0]->cancelled );
 }
 
-TEST_CASE( "a helper that a target reports as at fault is ejected",
+TEST_CASE( "a helper that a target reports as at fault is ejected everywhere",
            "[exchange][repeat]" )
 {
     auto f = exchange_fixture{};
