--- a/tests/support/exchange_fleet.hpp
+++ b/tests/support/exchange_fleet.hpp
@@ -213,7 +213,7 @@
     auto operator=( exchange_fleet const& ) -> exchange_fleet& = delete;
 
     /// Sends a request to instance `number`. If it fails and may be retried,
-    /// the caller retries it once at another instance.
+    /// the caller retries it once at any instance.
     auto call( int number, std::string path, std::string body )
         -> std::shared_ptr<fleet_call>;
     /// Ends the instance; its open requests are lost.
@@ -246,7 +246,7 @@
     auto deliver_record( std::string const& key, std::string const& value )
         -> void;
 
-    int drop_every{ 0 }; ///< every n-th datagram is lost; 0: none
+    int drop_every{ 0 }; ///< each n-th datagram is lost; 0: none
     held_scheduler scheduler;
     fleet_store store{ *this };
     fleet_targets engines;
