--- a/tests/exchange/announced_leaving_test.cpp
+++ b/tests/exchange/announced_leaving_test.cpp
@@ -136,7 +136,7 @@
     run_load( 1s );
     // The registry does not learn of it.
     auto const leaving = service.properties().front().id;
-    service.leave( leaving );
+    service.announce_leaving( leaving );
     run_load( 1s );
     auto const later = fleet.scheduler.now();
     run_load( 3s );
--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -121,7 +121,7 @@
     CHECK( count_not_served( load.fatal ) ==
            static_cast<int>( load.fatal.size() ) );
     CHECK( load.fatal.back()->status == 503 );
-    CHECK( load.fatal.back()->longest_try < 50ms );
+    CHECK( load.fatal.back()->longest_attempt < 50ms );
 }
 
 TEST_CASE( "a call that crashes its targets reaches few of them",
--- a/tests/exchange/reported_limit_faults_test.cpp
+++ b/tests/exchange/reported_limit_faults_test.cpp
@@ -16,7 +16,7 @@
     -> void
 {
     for ( auto const& properties : service.properties() )
-        service.name_limit( properties.id, per_second );
+        service.announce_limit( properties.id, per_second );
 }
 
 auto check_windows( fleet_targets const& service,
@@ -36,7 +36,7 @@
 {
     auto fleet = exchange_fleet( 7, 3, 2 );
     auto const path = GENERATE( as<std::string>{}, "/chat/o", "/safe/o" );
-    fleet.lost_each = GENERATE( 0, 5 );
+    fleet.drop_every = GENERATE( 0, 5 );
     auto load = steady_load{ fleet, path };
     limit_all( load.service(), 1.3 );
     load.send_for( 4s, 20ms );
@@ -136,7 +136,7 @@
     auto load = steady_load{ fleet, path };
     load.send_for( 2s, 40ms );
     auto const limited = busiest_target( load.service() );
-    load.service().name_limit( limited, 1.3 );
+    load.service().announce_limit( limited, 1.3 );
     auto const limit_set_at = fleet.scheduler.now();
     load.send_for( 3s, 40ms );
     auto const before = count_between(
@@ -156,10 +156,10 @@
     auto load = steady_load{ fleet, path };
     load.send_for( 1s, 20ms );
     auto const limited = busiest_target( load.service() );
-    load.service().name_limit( limited, limit );
+    load.service().announce_limit( limited, limit );
     // Other targets are preferred, and have capacity for all calls.
     load.send_for( 6s, 20ms );
-    load.service().name_limit( limited, std::nullopt );
+    load.service().announce_limit( limited, std::nullopt );
     load.send_for( limit > 0 ? 8s : 20s, 20ms );
     auto const later = fleet.scheduler.now();
     load.send_for( 4s, 20ms );
--- a/tests/exchange/reported_limit_test.cpp
+++ b/tests/exchange/reported_limit_test.cpp
@@ -19,7 +19,7 @@
     auto load = steady_load{ fleet, path };
     load.send_for( 2s, 20ms );
     auto const limited = busiest_target( service );
-    service.name_limit( limited, limit );
+    service.announce_limit( limited, limit );
     auto const limit_set_at = fleet.scheduler.now();
     load.send_for( 12s, 20ms );
     fleet.scheduler.run( 3s );
@@ -36,7 +36,7 @@
     auto fleet = exchange_fleet( instances, 3, 3 );
     auto& service = path == "/chat/o" ? fleet.engines : fleet.plain;
     for ( auto const& properties : service.properties() )
-        service.name_limit( properties.id, limit );
+        service.announce_limit( properties.id, limit );
     auto load = steady_load{ fleet, path };
     load.send_for( 6s, 20ms );
     auto const measured_from = fleet.scheduler.now();
