--- a/tests/exchange/crashing_request_test.cpp
+++ b/tests/exchange/crashing_request_test.cpp
@@ -236,10 +236,10 @@
     // five instances that receive it after the restart.
     auto fleet = exchange_fleet( 5, 12, 2 );
     auto const store_is_unavailable_first = GENERATE( false, true );
-    fleet.store.is_away = store_is_unavailable_first;
+    fleet.store.is_unavailable = store_is_unavailable_first;
     auto load = mixed_load( fleet, "/chat/", 400ms );
     load.send_for( 5s );
-    fleet.store.is_away = false;
+    fleet.store.is_unavailable = false;
     fleet.scheduler.run( 2s );
     auto const before = runs_of( fleet.engines, "fatal" ).size();
     CHECK( before >= crashes_to_quarantine );
--- a/tests/sessions/silent_engine_test.cpp
+++ b/tests/sessions/silent_engine_test.cpp
@@ -131,7 +131,7 @@
     open_stream.write( 2 );
     open_stream.complete( 3 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
     CHECK( fleet.engines.open_attempts() == 0 );
 }
 
@@ -149,7 +149,7 @@
     second.write( 1 );
     second.complete( 2 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "an engine may not know a request before its first token",
@@ -164,7 +164,7 @@
     fleet.stream( 0 ).write( 0 );
     fleet.stream( 0 ).complete( 1 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a started answer is not ended by its engine's silence",
@@ -180,9 +180,9 @@
         started_answer( obstacle == "no other engine" ? 1 : 2, profile );
     auto const silent_engine = fleet.stream( 0 ).engine;
     if ( obstacle == "no budget" )
-        fleet.use_retries_up();
+        fleet.exhaust_retry_budget();
     if ( obstacle == "no memory" )
-        fleet.say_memory( silent_engine == "a" ? "b" : "a", 400'000 );
+        fleet.report_memory( silent_engine == "a" ? "b" : "a", 400'000 );
     fleet.time.advance( hedge_timeout );
     CHECK_FALSE( fleet.answer->end() );
     CHECK( fleet.engines.open_attempts() == 1 );
@@ -201,7 +201,7 @@
         CHECK( fleet.answer->end()->reason == "deadline" );
         CHECK( fleet.last_connection( silent_engine ).cancelled );
     }
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
     CHECK( fleet.engines.open_attempts() == 0 );
 }
 
@@ -220,7 +220,7 @@
     fleet.stream( 5 ).write( 2 );
     fleet.stream( 5 ).complete( 3 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "of a silent engine and its hedge, the first to deliver "
@@ -237,7 +237,7 @@
     CHECK( second.request.attempt == core::attempt_number( 2 ) );
     CHECK_FALSE( fleet.last_connection( silent_engine ).cancelled );
     CHECK( fleet.engines.open_attempts() == 2 );
-    CHECK( fleet.counted_work() == 2 );
+    CHECK( fleet.counted_open_requests() == 2 );
 
     SECTION( "the silent engine" )
     {
@@ -262,11 +262,11 @@
         CHECK( fleet.answer->end()->reason == "deadline" );
         CHECK( fleet.last_connection( silent_engine ).cancelled );
         CHECK( fleet.last_connection( second.engine ).cancelled );
-        CHECK( fleet.counted_work() == 0 );
+        CHECK( fleet.counted_open_requests() == 0 );
         return;
     }
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
     CHECK( fleet.engines.open_attempts() == 0 );
 }
 
@@ -290,7 +290,7 @@
     CHECK( fleet.answer->is_complete() );
     CHECK( fleet.answer->text() ==
            fleet.expected_text( silent_engine, silent_engine ) );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "the hedge continues if the silent engine fails",
@@ -301,13 +301,13 @@
     REQUIRE( fleet.connections_of( 2 ).size() == 1 );
     for ( auto const& each : fleet.connections_of( 1 ) )
         each->lose( error_code::connection_lost );
-    CHECK( fleet.counted_work() == 1 );
+    CHECK( fleet.counted_open_requests() == 1 );
     auto& second = *fleet.connections_of( 2 ).front();
     second.write( 1 );
     second.write( 2 );
     second.complete( 3 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "at most one hedge is open beside a silent engine",
@@ -327,7 +327,7 @@
     CHECK( fleet.answer->is_complete() );
     CHECK( fleet.answer->text() ==
            fleet.expected_text( silent_engine, silent_engine ) );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a small prompt that already decodes at another engine does not "
@@ -350,7 +350,7 @@
     second.write( 2 );
     second.complete( 3 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled small prompt stays at its engine while no other has "
@@ -366,7 +366,7 @@
     for ( auto const* const id : { "a", "b" } )
     {
         if ( fleet.target( id ) )
-            fleet.say_memory( id, fleet.memory_tokens );
+            fleet.report_memory( id, fleet.memory_tokens );
     }
     fleet.time.advance( 3 * stall_timeout );
     CHECK( fleet.engines.all.size() == 1 );
@@ -384,7 +384,7 @@
         if ( engines == 1 )
             return;
         auto const other = fleet.stream( 0 ).engine == "a" ? "b" : "a";
-        fleet.say_memory( other, 0 );
+        fleet.report_memory( other, 0 );
         fleet.time.advance( stall_timeout );
         REQUIRE( fleet.engines.all.size() == 2 );
         CHECK( fleet.stream( 1 ).engine == other );
@@ -394,7 +394,7 @@
         fleet.stream( 1 ).complete( 1 );
         CHECK( fleet.answer->is_complete() );
     }
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled small prompt is answered by the engine that delivers "
@@ -420,7 +420,7 @@
     CHECK_FALSE( fleet.stream( 1 ).is_open() );
     fleet.stream( 0 ).complete( 1 );
     CHECK( fleet.answer->is_complete() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a stalled prompt that both engines refuse is reported as not run",
@@ -445,7 +445,7 @@
     }
     REQUIRE( fleet.answer->end() );
     CHECK( fleet.answer->end()->status == answer_status::not_run );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a span group is not ended by the silence of its decode "
@@ -473,7 +473,7 @@
     CHECK( fleet.answer->is_complete() );
     fleet.time.advance( 1min );
     CHECK( fleet.engines.reserved.empty() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "of a silent group and its hedge, the first to deliver "
@@ -545,7 +545,7 @@
     }
     CHECK( fleet.answer->is_complete() );
     CHECK( fleet.engines.reserved.empty() );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
 
 TEST_CASE( "a started answer waits for memory until its deadline",
@@ -558,7 +558,7 @@
     auto fleet = started_answer( 2, profile );
     auto const first = fleet.stream( 0 ).engine;
     auto const other = first == "a" ? "b" : "a";
-    fleet.say_memory( other, fleet.memory_tokens );
+    fleet.report_memory( other, fleet.memory_tokens );
     fleet.stream( 0 ).lose( error_code::failed );
     REQUIRE( fleet.engines.all.size() == 1 );
     // The time left is shorter than the predicted time for the rest of the
@@ -568,7 +568,7 @@
 
     SECTION( "which becomes free" )
     {
-        fleet.say_memory( other, 0 );
+        fleet.report_memory( other, 0 );
         fleet.time.advance( 50ms );
         REQUIRE( fleet.engines.all.size() == 2 );
         fleet.stream( 1 ).write( 1 );
@@ -595,5 +595,5 @@
         GENERATE( error_code::unreachable, error_code::refused ) );
     REQUIRE( fleet.answer->end() );
     CHECK( fleet.answer->end()->status == answer_status::failed );
-    CHECK( fleet.counted_work() == 0 );
+    CHECK( fleet.counted_open_requests() == 0 );
 }
--- a/tests/support/exchange_fixture.hpp
+++ b/tests/support/exchange_fixture.hpp
@@ -87,7 +87,7 @@
     auto reject( int status = 503, std::string at_fault = {} ) -> void
     {
         auto h = exchange::answer_head{};
-        h.failed_target = std::move( failed_target );
+        h.failed_target = std::move( at_fault );
         h.status = status;
         h.proves_not_run = true;
         h.wrong_target = status == 421;
@@ -125,7 +125,7 @@
 };
 
 /// Records the requests that are sent; the test answers them.
-class recorded_targets : public exchange::target_caller
+class recorded_targets : public exchange::target_client
 {
 public:
     auto send( exchange::outgoing_request request,
@@ -185,7 +185,7 @@
 };
 
 /// Records calls that reserve and release memory; the test answers them.
-class recorded_reservations : public exchange::reservation_caller
+class recorded_reservations : public exchange::reservation_client
 {
 public:
     struct reservation_call
--- a/tests/support/limited_load.cpp
+++ b/tests/support/limited_load.cpp
@@ -81,7 +81,7 @@
 auto active_coordinator( exchange_fleet& fleet ) -> int
 {
     for ( auto i = 0; i < fleet.size(); ++i )
-        if ( fleet.lives( i ) &&
+        if ( fleet.is_running( i ) &&
              fleet.at( i ).group.coordinator_position() == 0 )
             return i;
     return -1;
