--- a/src/pollenstream/adapters/http/operator_listener.cpp
+++ b/src/pollenstream/adapters/http/operator_listener.cpp
@@ -47,13 +47,13 @@
 }
 
 auto read_change( std::string const& body )
-    -> core::result<state::wanted_change>
+    -> core::result<state::requested_change>
 {
     auto const json = parse_json( body );
     if ( !json )
         return json.error();
     auto fields = json_fields( json.value(), "$" );
-    auto wanted = state::wanted_change{};
+    auto wanted = state::requested_change{};
     wanted.id = state::change_id( fields.required_text( "change_id" ) );
     wanted.author = fields.text( "author", {} );
     wanted.unix_seconds = unix_seconds();
@@ -76,7 +76,7 @@
     auto json = value::object();
     json["outcome"] = value::string( std::string( name_of( report.outcome ) ) );
     json["revision"] = value::number( report.revision.count() );
-    json["findings"] = to_json( report.found );
+    json["findings"] = to_json( report.findings );
     auto since = value::array( report.since.size() );
     for ( auto i = std::size_t{ 0 }; i < report.since.size(); ++i )
         since[i] = to_json( report.since[i] );
--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -162,7 +162,7 @@
             callback( call_refused( "bad-ticket", ticket.error().detail ) );
             return;
         }
-        if ( !ledger_.is_ours( ticket.value() ) )
+        if ( !ledger_.names_this_incarnation( ticket.value() ) )
         {
             forward( wanted, ticket.value(), callback );
             return;
@@ -217,7 +217,7 @@
                          std::to_string( next_key_.fetch_add( 1 ) );
         ticket = state::parse_ticket( own ).value();
     }
-    if ( !ledger_.is_ours( ticket ) )
+    if ( !ledger_.names_this_incarnation( ticket ) )
     {
         callback( call_unknown( "ticket-lost",
                                 "the incarnation that the ticket names has "
@@ -235,19 +235,19 @@
     auto const scope = scope_of( wanted );
     auto const step =
         ledger_.begin( ticket, scope, shared_.clock.now(), callback );
-    if ( step == state::call_ledger::step::expired )
+    if ( step == state::call_ledger::begin_result::expired )
     {
         callback( call_unknown( "ticket-expired",
                                 "the ticket's time is over; the call may have "
                                 "run" ) );
         return;
     }
-    if ( step == state::call_ledger::step::closed )
+    if ( step == state::call_ledger::begin_result::closed )
     {
         callback( call_refused( "leaving", "this instance is stopping" ) );
         return;
     }
-    if ( step == state::call_ledger::step::wait )
+    if ( step == state::call_ledger::begin_result::wait )
         return;
     auto once = wanted.call;
     once.key = ticket.key;
--- a/src/pollenstream/state/call_ledger.cpp
+++ b/src/pollenstream/state/call_ledger.cpp
@@ -23,7 +23,8 @@
 {
 }
 
-auto call_ledger::is_ours( call_ticket const& ticket ) const -> bool
+auto call_ledger::names_this_incarnation( call_ticket const& ticket ) const
+    -> bool
 {
     return ticket.instance == self_ && ticket.incarnation == incarnation_;
 }
@@ -31,7 +32,7 @@
 auto call_ledger::begin( call_ticket const& ticket,
                          std::string const& scope,
                          core::instant now,
-                         done callback ) -> step
+                         outcome_callback callback ) -> begin_result
 {
     auto known_outcome = std::optional<call_outcome>{};
     {
@@ -41,48 +42,48 @@
         if ( known == entries_.end() )
         {
             if ( now >= ticket.expires )
-                return step::expired;
+                return begin_result::expired;
             if ( closed_ )
-                return step::closed;
-            auto& fresh = entries_[key];
-            fresh.expires = ticket.expires;
-            fresh.waiting.push_back( std::move( callback ) );
-            fresh.sends = 1;
-            return step::run;
+                return begin_result::closed;
+            auto& new_entry = entries_[key];
+            new_entry.expires = ticket.expires;
+            new_entry.callbacks.push_back( std::move( callback ) );
+            new_entry.run_count = 1;
+            return begin_result::run;
         }
         if ( !known->second.outcome )
         {
-            known->second.waiting.push_back( std::move( callback ) );
-            return step::wait;
+            known->second.callbacks.push_back( std::move( callback ) );
+            return begin_result::wait;
         }
         known_outcome = known->second.outcome;
     }
     callback( *known_outcome );
-    return step::wait;
+    return begin_result::wait;
 }
 
 auto call_ledger::finish( call_ticket const& ticket,
                           std::string const& scope,
                           call_outcome const& outcome ) -> void
 {
-    auto waiting = std::vector<done>{};
+    auto callbacks = std::vector<outcome_callback>{};
     {
         auto const lock = std::scoped_lock( mutex_ );
         auto const known = entries_.find( key_of( ticket, scope ) );
         auto const is_running =
             known != entries_.end() && !known->second.outcome;
         core::check_invariant( core::invariant::at_most_once,
-                               is_running && known->second.sends == 1,
+                               is_running && known->second.run_count == 1,
                                to_string( ticket ) );
         if ( !is_running )
             return;
-        waiting = std::exchange( known->second.waiting, {} );
+        callbacks = std::exchange( known->second.callbacks, {} );
         if ( outcome.status == ports::answer_status::not_run )
             entries_.erase( known );
         else
             known->second.outcome = outcome;
     }
-    for ( auto const& each : waiting )
+    for ( auto const& each : callbacks )
         each( outcome );
 }
 
--- a/src/pollenstream/state/call_ledger.hpp
+++ b/src/pollenstream/state/call_ledger.hpp
@@ -27,45 +27,48 @@
     std::string detail;
 };
 
-/// The calls that this incarnation runs, or has run, under tickets that name
-/// it. An outcome is kept until its ticket has expired; after that the ticket
-/// is refused, so that a call never runs for a second time.
+/// Ensures that each non-idempotent call runs at most once. Holds the calls
+/// that this incarnation of the instance is running or has run under tickets
+/// that name it. An outcome is kept until its ticket expires; an expired
+/// ticket is refused, so a forgotten call cannot run a second time.
 class call_ledger
 {
 public:
-    using done = std::function<void( call_outcome const& )>;
+    using outcome_callback = std::function<void( call_outcome const& )>;
 
-    /// What a caller of `begin` has to do.
-    enum class step
+    /// How the caller of `begin` must proceed.
+    enum class begin_result
     {
-        run,     ///< run the call and report it with `finish`
-        wait,    ///< it runs or has run: `callback` gets its outcome
-        expired, ///< the ticket's time has passed: it may have run
-        closed,  ///< no new calls are begun: this one never ran here
+        run,     ///< run the call and pass its outcome to `finish`
+        wait,    ///< already running or finished: `callback` gets the outcome
+        expired, ///< the ticket has expired; the call may have run earlier
+        closed,  ///< the ledger accepts no new calls; this one has not run
     };
 
     call_ledger( core::instance_id self, core::incarnation incarnation );
 
-    /// Claims the right to run `ticket`'s call, for `scope`, which keeps equal
-    /// keys of different workspaces and services apart. `callback` is called
-    /// with the outcome unless the step is `expired` or `closed`.
+    /// Registers the call of `ticket`, unless it is already known. `scope`
+    /// separates equal keys of different workspaces and services. `callback`
+    /// is called with the outcome unless `expired` or `closed` is returned.
     auto begin( call_ticket const& ticket,
                 std::string const& scope,
                 core::instant now,
-                done callback ) -> step;
+                outcome_callback callback ) -> begin_result;
 
-    /// Records the outcome and tells everyone who waits. A call that provably
-    /// did not run gives its ticket back, to be used again.
+    /// Records the outcome and passes it to all callbacks. If the
+    /// call provably did not run, its entry is removed and the ticket can be
+    /// used again.
     auto finish( call_ticket const& ticket,
                  std::string const& scope,
                  call_outcome const& outcome ) -> void;
 
-    /// The ticket's right to run here; false for one of another incarnation.
-    [[nodiscard]] auto is_ours( call_ticket const& ticket ) const -> bool;
+    /// True if the ticket names this incarnation of this instance.
+    [[nodiscard]] auto names_this_incarnation( call_ticket const& ticket ) const
+        -> bool;
 
-    /// Lets no new call begin, for a planned stop.
+    /// Refuses new calls from now on, for a planned shutdown.
     auto close() -> void;
-    /// Forgets outcomes whose tickets have expired.
+    /// Removes the outcomes of expired tickets; running calls are kept.
     auto expire( core::instant now ) -> void;
     [[nodiscard]] auto size() const -> std::size_t;
 
@@ -74,8 +77,8 @@
     {
         core::instant expires;
         std::optional<call_outcome> outcome;
-        std::vector<done> waiting;
-        int sends{ 0 };
+        std::vector<outcome_callback> callbacks;
+        int run_count{ 0 };
     };
 
     core::instance_id self_;
--- a/src/pollenstream/state/call_ticket.cpp
+++ b/src/pollenstream/state/call_ticket.cpp
@@ -12,7 +12,7 @@
 {
 
 constexpr auto separator = ':';
-constexpr auto longest_key = std::size_t{ 200 };
+constexpr auto max_key_length = std::size_t{ 200 };
 
 auto malformed() -> core::error
 {
@@ -20,12 +20,14 @@
              "a ticket is INSTANCE:INCARNATION:MILLISECONDS:KEY" };
 }
 
-auto parse_count( std::string_view digits ) -> std::optional<std::int64_t>
+auto parse_non_negative( std::string_view digits )
+    -> std::optional<std::int64_t>
 {
     auto value = std::int64_t{ 0 };
     auto const* const end = digits.data() + digits.size();
-    auto const [stopped, status] = std::from_chars( digits.data(), end, value );
-    if ( status != std::errc{} || stopped != end || value < 0 )
+    auto const [parsed_end, error] =
+        std::from_chars( digits.data(), end, value );
+    if ( error != std::errc{} || parsed_end != end || value < 0 )
         return std::nullopt;
     return value;
 }
@@ -43,25 +45,25 @@
 
 auto parse_ticket( std::string const& text ) -> core::result<call_ticket>
 {
-    constexpr auto parts_before_key = std::size_t{ 3 };
-    auto parts = std::array<std::string_view, parts_before_key>{};
+    constexpr auto field_count = std::size_t{ 3 };
+    auto fields = std::array<std::string_view, field_count>{};
     auto rest = std::string_view( text );
-    for ( auto& part : parts )
+    for ( auto& field : fields )
     {
         auto const end = rest.find( separator );
         if ( end == std::string_view::npos )
             return malformed();
-        part = rest.substr( 0, end );
+        field = rest.substr( 0, end );
         rest.remove_prefix( end + 1 );
     }
-    auto const incarnation = parse_count( parts[1] );
-    auto const expires = parse_count( parts[2] );
-    auto const is_bad = parts[0].empty() || !incarnation || !expires ||
-                        rest.empty() || rest.size() > longest_key;
-    if ( is_bad )
+    auto const incarnation = parse_non_negative( fields[1] );
+    auto const expires = parse_non_negative( fields[2] );
+    auto const is_invalid = fields[0].empty() || !incarnation || !expires ||
+                            rest.empty() || rest.size() > max_key_length;
+    if ( is_invalid )
         return malformed();
     auto ticket = call_ticket{};
-    ticket.instance = core::instance_id( std::string( parts[0] ) );
+    ticket.instance = core::instance_id( std::string( fields[0] ) );
     ticket.incarnation = core::incarnation( *incarnation );
     ticket.expires = core::instant( std::chrono::milliseconds( *expires ) );
     ticket.key = core::idempotency_key( std::string( rest ) );
--- a/src/pollenstream/state/call_ticket.hpp
+++ b/src/pollenstream/state/call_ticket.hpp
@@ -10,22 +10,22 @@
 namespace pollenstream::state
 {
 
-/// Names the only incarnation of an instance that may ever run a
-/// non-idempotent call, and until when. The caller joins what `GET /v1/entry`
-/// gave it and a key of its own, so that a ticket costs no call and no store.
-/// Only the named incarnation reads the time, which is its own.
+/// Permits one incarnation of an instance, and no other, to run a
+/// non-idempotent call until the ticket expires. The caller builds it from the
+/// `ticket_prefix` of `GET /v1/entry` and a key that it chooses, so issuing a
+/// ticket needs no call and no stored state.
 struct call_ticket
 {
     core::instance_id instance;
     core::incarnation incarnation;
-    core::instant expires; ///< in the named incarnation's monotonic time
+    core::instant expires; ///< in that incarnation's monotonic clock
     core::idempotency_key key;
 };
 
-/// `INSTANCE:INCARNATION:MILLISECONDS:KEY`.
+/// Returns `INSTANCE:INCARNATION:MILLISECONDS:KEY`.
 auto to_string( call_ticket const& ticket ) -> std::string;
 
-/// Reads what `to_string` writes.
+/// Parses the format of `to_string`. Fails if a field is missing or invalid.
 auto parse_ticket( std::string const& text ) -> core::result<call_ticket>;
 
 }
--- a/src/pollenstream/state/configuration_follower.cpp
+++ b/src/pollenstream/state/configuration_follower.cpp
@@ -12,9 +12,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto watch_time = core::duration( 30s );
-constexpr auto shortest_pause = core::duration( 200ms );
-constexpr auto longest_pause = core::duration( 10s );
+constexpr auto watch_timeout = core::duration( 30s );
+constexpr auto min_pause = core::duration( 200ms );
+constexpr auto max_pause = core::duration( 10s );
 
 }
 
@@ -30,39 +30,40 @@
 auto configuration_follower::follow_once() -> core::duration
 {
     watches.add();
-    auto const seen = store_.watch( head_key, seen_, watch_time );
-    if ( !seen )
-        return pause_after_failure();
-    if ( seen.value().version == seen_ )
+    auto const current =
+        store_.watch( head_key, known_version_, watch_timeout );
+    if ( !current )
+        return backoff_after_failure();
+    if ( current.value().version == known_version_ )
     {
-        failures_in_a_row_ = 0;
+        consecutive_failures_ = 0;
         return core::duration( 0 );
     }
     auto bundle = load_bundle( store_, codec_, holder_.bundle() );
     if ( !bundle )
-        return pause_after_failure();
-    auto const taken = holder_.adopt( std::move( bundle.value() ) );
-    // What cannot be taken over now cannot be later either: wait for the next
-    // change instead of asking for this one again.
-    seen_ = seen.value().version;
-    failures_in_a_row_ = 0;
-    if ( taken && taken.value() )
+        return backoff_after_failure();
+    auto const result = holder_.adopt( std::move( bundle.value() ) );
+    // A configuration that was refused would be refused again, so mark it as
+    // known and wait for the next change.
+    known_version_ = current.value().version;
+    consecutive_failures_ = 0;
+    if ( result && result.value() )
         adopted.add();
     else
         refused.add();
     return core::duration( 0 );
 }
 
-auto configuration_follower::pause_after_failure() -> core::duration
+auto configuration_follower::backoff_after_failure() -> core::duration
 {
     failures.add();
-    constexpr auto most_doublings = 6;
-    auto const doublings = std::min( failures_in_a_row_++, most_doublings );
-    auto const width =
-        std::min( longest_pause, shortest_pause * ( 1 << doublings ) );
-    auto draw = std::uniform_int_distribution<std::int64_t>( width.count() / 2,
-                                                             width.count() );
-    return core::duration( draw( random_ ) );
+    constexpr auto max_doublings = 6;
+    auto const doublings = std::min( consecutive_failures_++, max_doublings );
+    auto const upper_bound =
+        std::min( max_pause, min_pause * ( 1 << doublings ) );
+    auto distribution = std::uniform_int_distribution<std::int64_t>(
+        upper_bound.count() / 2, upper_bound.count() );
+    return core::duration( distribution( random_ ) );
 }
 
 }
--- a/src/pollenstream/state/configuration_follower.hpp
+++ b/src/pollenstream/state/configuration_follower.hpp
@@ -12,10 +12,10 @@
 namespace pollenstream::state
 {
 
-/// Waits for changes of the head at the store and takes them over. One call
-/// is out at a time; after a failure the next one comes after a pause that
-/// doubles and is drawn at random, so that a fleet does not fall upon a store
-/// that comes back.
+/// Watches the configuration head in the store and adopts each change. Makes
+/// one store call at a time. After failures it backs off exponentially with
+/// random jitter, so that the instances do not overload a store that has just
+/// recovered.
 class configuration_follower
 {
 public:
@@ -24,24 +24,24 @@
                             configuration_holder& holder,
                             std::uint64_t seed );
 
-    /// Waits for one change, or for the watch to end. Returns how long to
-    /// pause before the next call.
+    /// Waits until the head changes or the watch times out, and adopts a
+    /// changed configuration. Returns the pause before the next call.
     auto follow_once() -> core::duration;
 
     core::counter watches;
     core::counter failures;
     core::counter adopted;
-    core::counter refused; ///< heads that were older, missing parts or faulty
+    core::counter refused; ///< outdated, incomplete or invalid configurations
 
 private:
-    auto pause_after_failure() -> core::duration;
+    auto backoff_after_failure() -> core::duration;
 
     ports::key_value_store& store_;
     ports::configuration_codec const& codec_;
     configuration_holder& holder_;
-    ports::key_version seen_;
+    ports::key_version known_version_;
     std::mt19937_64 random_;
-    int failures_in_a_row_{ 0 };
+    int consecutive_failures_{ 0 };
 };
 
 }
--- a/src/pollenstream/state/configuration_holder.cpp
+++ b/src/pollenstream/state/configuration_holder.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-auto check_whole( configuration_bundle const& bundle ) -> core::result<void>
+auto check_complete( configuration_bundle const& bundle ) -> core::result<void>
 {
     for ( auto const& [name, hash] : bundle.head.documents )
     {
@@ -29,16 +29,16 @@
 
 auto check_documents( document_texts const& texts,
                       ports::configuration_codec const& codec,
-                      core::findings& found ) -> profiles::configuration
+                      core::findings& findings ) -> profiles::configuration
 {
-    auto whole = profiles::configuration{};
+    auto combined = profiles::configuration{};
     for ( auto const& [name, text] : texts )
     {
-        auto const document = codec.read_document( name, text, found );
-        profiles::read_configuration( document, whole, found );
+        auto const document = codec.read_document( name, text, findings );
+        profiles::read_configuration( document, combined, findings );
     }
-    profiles::check_references( whole, "configuration", found );
-    return whole;
+    profiles::check_references( combined, "configuration", findings );
+    return combined;
 }
 
 configuration_holder::configuration_holder(
@@ -54,14 +54,14 @@
     auto const lock = std::scoped_lock( mutex_ );
     if ( bundle.head.revision <= bundle_.head.revision )
         return false;
-    auto const whole = check_whole( bundle );
-    if ( !whole )
-        return whole.error();
-    auto found = core::findings{};
+    auto const complete = check_complete( bundle );
+    if ( !complete )
+        return complete.error();
+    auto findings = core::findings{};
     auto next = std::make_unique<profiles::configuration>(
-        check_documents( bundle.texts, codec_, found ) );
-    if ( !found.empty() )
-        return core::error{ core::error_code::malformed, found.report() };
+        check_documents( bundle.texts, codec_, findings ) );
+    if ( !findings.empty() )
+        return core::error{ core::error_code::malformed, findings.report() };
     next->revision = bundle.head.revision;
     core::check_invariant( core::invariant::revision_only_rises,
                            next->revision > bundle_.head.revision,
@@ -89,10 +89,10 @@
 auto configuration_holder::fingerprint() const -> std::string
 {
     auto const lock = std::scoped_lock( mutex_ );
-    auto names = std::string{};
+    auto listing = std::string{};
     for ( auto const& [name, hash] : bundle_.head.documents )
-        names.append( name ).append( "=" ).append( hash ).append( "\n" );
-    return core::content_hash( names );
+        listing.append( name ).append( "=" ).append( hash ).append( "\n" );
+    return core::content_hash( listing );
 }
 
 }
--- a/src/pollenstream/state/configuration_holder.hpp
+++ b/src/pollenstream/state/configuration_holder.hpp
@@ -17,33 +17,36 @@
 namespace pollenstream::state
 {
 
-/// Documents by name.
+/// Text of each document, by document name.
 using document_texts = std::map<std::string, std::string>;
 
-/// A head with all documents that it names.
+/// A head with the texts of all documents that it lists.
 struct configuration_bundle
 {
     configuration_head head;
     document_texts texts;
 };
 
-/// Reads every document of `texts` and checks them together.
+/// Parses all documents, adds what is invalid to `findings`, also references
+/// between documents, and returns the combined configuration.
 auto check_documents( document_texts const& texts,
                       ports::configuration_codec const& codec,
-                      core::findings& found ) -> profiles::configuration;
+                      core::findings& findings ) -> profiles::configuration;
 
-/// The configuration in force on this instance. Its revision only rises: an
-/// older bundle is ignored, wherever it comes from.
+/// Holds the configuration in force on this instance. Its revision never
+/// decreases: an older bundle is ignored, whether it comes from the store or
+/// from another instance.
 class configuration_holder
 {
 public:
     explicit configuration_holder( ports::configuration_codec const& codec );
 
-    /// Puts `bundle` into force if it is newer and whole. False where it is
-    /// not newer; an error where a document is missing, altered or faulty.
+    /// Puts `bundle` into force if it is newer than the current one. Returns
+    /// false if it is not newer, and an error if a document is missing, does
+    /// not match its hash or is invalid.
     auto adopt( configuration_bundle bundle ) -> core::result<bool>;
 
-    /// Calls `f( profiles::configuration const& )` without a lock.
+    /// Calls `f( profiles::configuration const& )` without taking a lock.
     template <class F>
     auto read( F&& f ) const -> decltype( auto )
     {
@@ -52,7 +55,8 @@
 
     [[nodiscard]] auto revision() const -> core::revision;
     [[nodiscard]] auto bundle() const -> configuration_bundle;
-    /// Hash over the names and hashes of the documents in force.
+    /// Returns a hash of the names and content hashes of all documents in
+    /// force; equal on instances that have the same documents.
     [[nodiscard]] auto fingerprint() const -> std::string;
 
 private:
--- a/src/pollenstream/state/configuration_publisher.cpp
+++ b/src/pollenstream/state/configuration_publisher.cpp
@@ -10,20 +10,22 @@
 namespace
 {
 
-/// How often a lost answer is looked for before it is told as unknown.
-constexpr auto read_back_tries = 3;
-/// How often a change without a base is put on top of a newer head.
-constexpr auto rebase_tries = 5;
+/// Attempts to read the head back after the response to a write was lost;
+/// after that the outcome is reported as unknown.
+constexpr auto max_read_back_attempts = 3;
+/// Attempts to apply a change without a base revision while others change the
+/// head concurrently.
+constexpr auto max_rebase_attempts = 5;
 
-auto outcome( change_outcome what, std::string detail ) -> change_report
+auto make_report( change_outcome outcome, std::string detail ) -> change_report
 {
     auto report = change_report{};
-    report.outcome = what;
+    report.outcome = outcome;
     report.detail = std::move( detail );
     return report;
 }
 
-auto accepted_at( core::revision revision ) -> change_report
+auto accepted_report( core::revision revision ) -> change_report
 {
     auto report = change_report{};
     report.outcome = change_outcome::accepted;
@@ -31,11 +33,11 @@
     return report;
 }
 
-auto conflict_with( configuration_head const& head, core::revision base )
+auto conflict_report( configuration_head const& head, core::revision base )
     -> change_report
 {
-    auto report = outcome( change_outcome::conflict,
-                           "the configuration was changed meanwhile" );
+    auto report = make_report( change_outcome::conflict,
+                               "the configuration was changed meanwhile" );
     report.revision = head.revision;
     for ( auto const& each : head.changes )
     {
@@ -45,18 +47,19 @@
     return report;
 }
 
-/// The documents that `head` names: those that `known` has from there, others
-/// from the store.
-auto load_texts( ports::key_value_store& store,
-                 configuration_head const& head,
-                 configuration_bundle const& known )
+/// Returns the texts of all documents that `head` lists; reads only those from
+/// the store that `known` does not hold.
+auto load_documents( ports::key_value_store& store,
+                     configuration_head const& head,
+                     configuration_bundle const& known )
     -> core::result<document_texts>
 {
     auto texts = document_texts{};
     for ( auto const& [name, hash] : head.documents )
     {
-        auto const held = known.head.documents.find( name );
-        if ( held != known.head.documents.end() && held->second == hash )
+        auto const known_hash = known.head.documents.find( name );
+        if ( known_hash != known.head.documents.end() &&
+             known_hash->second == hash )
         {
             texts[name] = known.texts.at( name );
             continue;
@@ -69,20 +72,20 @@
     return texts;
 }
 
-/// The bundle that `wanted` makes of `base`.
-auto apply_to( configuration_bundle const& base, wanted_change const& wanted )
-    -> configuration_bundle
+/// Returns `base` with the requested change applied, as the next revision.
+auto apply_change( configuration_bundle const& base,
+                   requested_change const& requested ) -> configuration_bundle
 {
     auto next = base;
     auto change = accepted_change{
-        wanted.id, {}, wanted.author, wanted.unix_seconds, {} };
-    for ( auto const& [name, text] : wanted.put )
+        requested.id, {}, requested.author, requested.unix_seconds, {} };
+    for ( auto const& [name, text] : requested.put )
     {
         next.texts[name] = text;
         next.head.documents[name] = core::content_hash( text );
         change.documents.push_back( name );
     }
-    for ( auto const& name : wanted.remove )
+    for ( auto const& name : requested.remove )
     {
         next.texts.erase( name );
         next.head.documents.erase( name );
@@ -92,7 +95,7 @@
     change.revision = next.head.revision;
     auto& changes = next.head.changes;
     changes.insert( changes.begin(), std::move( change ) );
-    changes.resize( std::min( changes.size(), remembered_changes ) );
+    changes.resize( std::min( changes.size(), max_remembered_changes ) );
     return next;
 }
 
@@ -124,41 +127,44 @@
 {
 }
 
-auto configuration_publisher::apply( wanted_change const& wanted )
+auto configuration_publisher::apply( requested_change const& requested )
     -> change_report
 {
-    for ( auto tries = 0; tries < rebase_tries; ++tries )
+    for ( auto attempt = 0; attempt < max_rebase_attempts; ++attempt )
     {
         auto const stored = read_head();
         if ( !stored )
-            return outcome( change_outcome::refused, stored.error().detail );
+            return make_report( change_outcome::refused,
+                                stored.error().detail );
         auto const& head = stored.value().head;
-        if ( auto const* const known = head.find_change( wanted.id ) )
-            return accepted_at( known->revision );
-        auto const base = base_of( stored.value() );
+        if ( auto const* const known = head.find_change( requested.id ) )
+            return accepted_report( known->revision );
+        auto const base = load_base( stored.value() );
         if ( !base )
-            return outcome( change_outcome::refused, base.error().detail );
-        auto const& from = base.value();
-        if ( wanted.based_on && *wanted.based_on != from.head.revision )
-            return conflict_with( from.head, *wanted.based_on );
-        auto const next = apply_to( from, wanted );
+            return make_report( change_outcome::refused, base.error().detail );
+        auto const& base_bundle = base.value();
+        if ( requested.based_on &&
+             *requested.based_on != base_bundle.head.revision )
+            return conflict_report( base_bundle.head, *requested.based_on );
+        auto const next = apply_change( base_bundle, requested );
         auto report = change_report{};
-        check_documents( next.texts, codec_, report.found );
+        check_documents( next.texts, codec_, report.findings );
         report.outcome = change_outcome::faulty;
-        report.revision = from.head.revision;
-        if ( !report.found.empty() )
+        report.revision = base_bundle.head.revision;
+        if ( !report.findings.empty() )
             return report;
         auto const written = write_documents( head, next );
         if ( !written )
-            return outcome( change_outcome::refused, written.error().detail );
-        report = swap_head( stored.value(), next, wanted );
+            return make_report( change_outcome::refused,
+                                written.error().detail );
+        report = swap_head( stored.value(), next, requested );
         auto const may_rebase =
-            report.outcome == change_outcome::conflict && !wanted.based_on;
+            report.outcome == change_outcome::conflict && !requested.based_on;
         if ( !may_rebase )
             return report;
     }
-    return outcome( change_outcome::conflict,
-                    "others changed the configuration again and again" );
+    return make_report( change_outcome::conflict,
+                        "others changed the configuration again and again" );
 }
 
 auto configuration_publisher::read_head() -> core::result<stored_head>
@@ -176,14 +182,14 @@
     return out;
 }
 
-auto configuration_publisher::base_of( stored_head const& stored )
+auto configuration_publisher::load_base( stored_head const& stored )
     -> core::result<configuration_bundle>
 {
-    // A store that came back older must not take the fleet back: the newer
-    // configuration in force here is the base then.
+    // A store restored from a backup may hold an older revision. Revisions must
+    // not decrease, so build on the newer one in force on this instance.
     if ( holder_.revision() > stored.head.revision )
         return holder_.bundle();
-    auto texts = load_texts( store_, stored.head, holder_.bundle() );
+    auto texts = load_documents( store_, stored.head, holder_.bundle() );
     if ( !texts )
         return texts.error();
     return configuration_bundle{ stored.head, std::move( texts.value() ) };
@@ -202,11 +208,11 @@
         auto const absent = ports::key_version( 0 );
         auto const written =
             store_.compare_and_swap( key, absent, next.texts.at( name ) );
-        // The key names its content: whoever wrote it wrote the same.
+        // The key is the content hash, so an existing value is identical.
         if ( written || written.error().code == core::error_code::conflict )
             continue;
-        auto const there = store_.get( key );
-        if ( !there || there.value().version == absent )
+        auto const existing = store_.get( key );
+        if ( !existing || existing.value().version == absent )
             return written.error();
     }
     return core::success();
@@ -214,38 +220,38 @@
 
 auto configuration_publisher::swap_head( stored_head const& stored,
                                          configuration_bundle const& next,
-                                         wanted_change const& wanted )
+                                         requested_change const& requested )
     -> change_report
 {
     auto const swapped = store_.compare_and_swap(
         head_key, stored.version, codec_.write_head( next.head ) );
     if ( swapped )
-        return accepted_at( next.head.revision );
+        return accepted_report( next.head.revision );
     auto const code = swapped.error().code;
     if ( core::proves_not_run( code ) || code == core::error_code::too_large )
-        return outcome( change_outcome::refused, swapped.error().detail );
-    return find_out( stored, wanted );
+        return make_report( change_outcome::refused, swapped.error().detail );
+    return resolve_unknown_outcome( stored, requested );
 }
 
-auto configuration_publisher::find_out( stored_head const& stored,
-                                        wanted_change const& wanted )
+auto configuration_publisher::resolve_unknown_outcome(
+    stored_head const& stored, requested_change const& requested )
     -> change_report
 {
-    for ( auto tries = 0; tries < read_back_tries; ++tries )
+    for ( auto attempt = 0; attempt < max_read_back_attempts; ++attempt )
     {
-        auto const now = read_head();
-        if ( !now )
+        auto const current = read_head();
+        if ( !current )
             continue;
-        auto const& head = now.value().head;
-        if ( auto const* const known = head.find_change( wanted.id ) )
-            return accepted_at( known->revision );
-        // Another version stands there, so the swap can no longer succeed.
-        if ( now.value().version != stored.version )
-            return conflict_with( head, stored.head.revision );
+        auto const& head = current.value().head;
+        if ( auto const* const known = head.find_change( requested.id ) )
+            return accepted_report( known->revision );
+        // The head has another version, so the swap can no longer succeed.
+        if ( current.value().version != stored.version )
+            return conflict_report( head, stored.head.revision );
     }
-    return outcome( change_outcome::unknown,
-                    "the store did not answer; ask again with change id " +
-                        wanted.id.str() );
+    return make_report( change_outcome::unknown,
+                        "the store did not answer; ask again with change id " +
+                            requested.id.str() );
 }
 
 auto load_bundle( ports::key_value_store& store,
@@ -261,7 +267,7 @@
     auto const head = codec.read_head( stored.value().value );
     if ( !head )
         return head.error();
-    auto texts = load_texts( store, head.value(), known );
+    auto texts = load_documents( store, head.value(), known );
     if ( !texts )
         return texts.error();
     return configuration_bundle{ head.value(), std::move( texts.value() ) };
--- a/src/pollenstream/state/configuration_publisher.hpp
+++ b/src/pollenstream/state/configuration_publisher.hpp
@@ -16,44 +16,46 @@
 namespace pollenstream::state
 {
 
-/// A change that an operator asks for.
-struct wanted_change
+/// A configuration change that an operator requests.
+struct requested_change
 {
     change_id id;
     std::string author;
     std::int64_t unix_seconds{ 0 };
     document_texts put;              ///< documents to write, by name
-    std::vector<std::string> remove; ///< documents to take away
-    /// The revision that the operator looked at; the change is refused if
-    /// another one came after it. Absent: on top of whatever is there.
+    std::vector<std::string> remove; ///< names of documents to remove
+    /// Revision on which the operator based the change; if it is no longer the
+    /// current one, the outcome is `conflict`. If absent, the change applies to
+    /// the current revision.
     std::optional<core::revision> based_on;
 };
 
-/// What became of a wanted change.
+/// Outcome of a requested change.
 enum class change_outcome
 {
-    accepted, ///< it is, or will be, in force everywhere
-    faulty,   ///< its documents have findings; nothing was changed
-    conflict, ///< somebody else was first; nothing was changed
-    refused,  ///< the store took no part of it; nothing was changed
-    unknown,  ///< no answer: ask again with the same change id
+    accepted, ///< stored; all instances will adopt it
+    faulty,   ///< documents are invalid; nothing was changed
+    conflict, ///< another change came first; nothing was changed
+    refused,  ///< the store failed or refused; head is unchanged
+    unknown,  ///< no response; retry with the same change id
 };
 
-/// Name for operators: `accepted`, `faulty`, `conflict`, `refused` or
-/// `unknown`.
+/// Returns the name that operators see: `accepted`, `faulty`, `conflict`,
+/// `refused` or `unknown`.
 auto name_of( change_outcome outcome ) -> std::string_view;
 
-/// Answer to a wanted change.
+/// Result of a requested change, for the operator.
 struct change_report
 {
     change_outcome outcome{ change_outcome::unknown };
-    core::revision revision; ///< of the change, or of what stands there
-    core::findings found;    ///< for `faulty`
-    std::vector<accepted_change> since; ///< for `conflict`: what came between
+    core::revision revision; ///< new one if `accepted`, current one if
+                             ///< `faulty` or `conflict`
+    core::findings findings; ///< if `faulty`
+    std::vector<accepted_change> since; ///< if `conflict`: later changes
     std::string detail;
 };
 
-/// Makes changes of the configuration in the key-value service.
+/// Writes configuration changes to the key-value store.
 class configuration_publisher
 {
 public:
@@ -61,7 +63,9 @@
                              ports::configuration_codec const& codec,
                              configuration_holder& holder );
 
-    auto apply( wanted_change const& wanted ) -> change_report;
+    /// Applies the change to the configuration in the store. Safe to retry
+    /// with the same change id.
+    auto apply( requested_change const& requested ) -> change_report;
 
 private:
     struct stored_head
@@ -71,15 +75,16 @@
     };
 
     auto read_head() -> core::result<stored_head>;
-    auto base_of( stored_head const& stored )
+    auto load_base( stored_head const& stored )
         -> core::result<configuration_bundle>;
     auto write_documents( configuration_head const& stored,
                           configuration_bundle const& next )
         -> core::result<void>;
     auto swap_head( stored_head const& stored,
                     configuration_bundle const& next,
-                    wanted_change const& wanted ) -> change_report;
-    auto find_out( stored_head const& stored, wanted_change const& wanted )
+                    requested_change const& requested ) -> change_report;
+    auto resolve_unknown_outcome( stored_head const& stored,
+                                  requested_change const& requested )
         -> change_report;
 
     ports::key_value_store& store_;
@@ -87,8 +92,8 @@
     configuration_holder& holder_;
 };
 
-/// Reads the head and its documents from the store, taking texts that `known`
-/// has from there.
+/// Reads the head and its documents from the store. Texts that `known` already
+/// holds are copied from it instead of read again.
 auto load_bundle( ports::key_value_store& store,
                   ports::configuration_codec const& codec,
                   configuration_bundle const& known )
--- a/tests/state/configuration_test.cpp
+++ b/tests/state/configuration_test.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// A store, with an operator's publisher on one instance.
-struct one_publisher
+/// A configuration publisher on one instance, with a simulated store.
+struct publisher_fixture
 {
     standins::store_model store;
     pollenstream::adapters::http::configuration_text_codec codec;
@@ -30,128 +30,130 @@
 
 }
 
-TEST_CASE( "an accepted change can be read back and taken over",
+TEST_CASE( "an accepted change can be read from the store and adopted",
            "[configuration]" )
 {
-    auto one = one_publisher{};
-    auto const report = one.apply( "first", sample_document( 1 ) );
+    auto fixture = publisher_fixture{};
+    auto const report = fixture.apply( "first", sample_document( 1 ) );
     REQUIRE( report.outcome == change_outcome::accepted );
     CHECK( report.revision == core::revision( 1 ) );
-    auto follower =
-        state::configuration_follower( one.store, one.codec, one.holder, 1 );
+    auto follower = state::configuration_follower( fixture.store, fixture.codec,
+                                                   fixture.holder, 1 );
     follower.follow_once();
-    CHECK( one.holder.revision() == core::revision( 1 ) );
-    CHECK( has_profile( one.holder, "quick-1" ) );
+    CHECK( fixture.holder.revision() == core::revision( 1 ) );
+    CHECK( has_profile( fixture.holder, "quick-1" ) );
 }
 
 TEST_CASE( "a change sent twice takes effect once", "[configuration]" )
 {
-    auto one = one_publisher{};
-    auto const first = one.apply( "same", sample_document( 1 ) );
-    auto const second = one.apply( "same", sample_document( 1 ) );
+    auto fixture = publisher_fixture{};
+    auto const first = fixture.apply( "same", sample_document( 1 ) );
+    auto const second = fixture.apply( "same", sample_document( 1 ) );
     CHECK( second.outcome == change_outcome::accepted );
     CHECK( second.revision == first.revision );
 }
 
-TEST_CASE( "a lost answer is looked up", "[configuration]" )
+TEST_CASE( "a change whose response is lost is looked up in the store",
+           "[configuration]" )
 {
-    auto one = one_publisher{};
-    REQUIRE( one.apply( "first", sample_document( 1 ) ).outcome ==
+    auto fixture = publisher_fixture{};
+    REQUIRE( fixture.apply( "first", sample_document( 1 ) ).outcome ==
              change_outcome::accepted );
 
-    SECTION( "and told as accepted where the change took effect" )
+    SECTION( "it is accepted if the store made the change" )
     {
-        one.store.set_faults( { false, true, false } );
-        auto const report = one.apply( "second", sample_document( 2 ) );
+        fixture.store.set_faults( { false, true, false } );
+        auto const report = fixture.apply( "second", sample_document( 2 ) );
         CHECK( report.outcome == change_outcome::accepted );
         CHECK( report.revision == core::revision( 2 ) );
     }
-    SECTION( "and told as refused where the store took nothing" )
+    SECTION( "it is refused if the store wrote nothing" )
     {
-        one.store.set_faults( { true, false, false } );
-        auto const report = one.apply( "second", sample_document( 2 ) );
+        fixture.store.set_faults( { true, false, false } );
+        auto const report = fixture.apply( "second", sample_document( 2 ) );
         CHECK( report.outcome == change_outcome::refused );
     }
-    SECTION( "and told as unknown where the store is gone after the write" )
+    SECTION( "it is unknown if the store is unreachable after the write" )
     {
-        auto cut = cut_after_head( one.store );
-        auto publisher =
-            state::configuration_publisher( cut, one.codec, one.holder );
+        auto cut = cut_after_head( fixture.store );
+        auto publisher = state::configuration_publisher( cut, fixture.codec,
+                                                         fixture.holder );
         auto const report =
             publisher.apply( change_of( "second", sample_document( 2 ) ) );
         CHECK( report.outcome == change_outcome::unknown );
-        // Asked again with the same id, the truth comes out.
-        auto const again = one.apply( "second", sample_document( 2 ) );
+        // A retry with the same id reports the change as made.
+        auto const again = fixture.apply( "second", sample_document( 2 ) );
         CHECK( again.outcome == change_outcome::accepted );
         CHECK( again.revision == core::revision( 2 ) );
     }
 }
 
-TEST_CASE( "of two operators who race one is told of the other",
+TEST_CASE( "concurrent changes on the same base: the later one conflicts",
            "[configuration]" )
 {
-    auto one = one_publisher{};
-    REQUIRE( one.apply( "first", sample_document( 1 ) ).outcome ==
+    auto fixture = publisher_fixture{};
+    REQUIRE( fixture.apply( "first", sample_document( 1 ) ).outcome ==
              change_outcome::accepted );
     auto mine = change_of( "mine", sample_document( 2 ) );
     auto theirs = change_of( "theirs", sample_document( 3 ) );
     mine.based_on = core::revision( 1 );
     theirs.based_on = core::revision( 1 );
-    CHECK( one.publisher.apply( theirs ).outcome == change_outcome::accepted );
-    auto const report = one.publisher.apply( mine );
+    CHECK( fixture.publisher.apply( theirs ).outcome ==
+           change_outcome::accepted );
+    auto const report = fixture.publisher.apply( mine );
     CHECK( report.outcome == change_outcome::conflict );
     REQUIRE( report.since.size() == 1 );
     CHECK( report.since.front().id == state::change_id( "theirs" ) );
 }
 
-TEST_CASE( "a change with findings changes nothing and tells all of them",
+TEST_CASE( "an invalid change writes nothing and reports all findings",
            "[configuration]" )
 {
-    auto one = one_publisher{};
-    auto const report = one.apply(
+    auto fixture = publisher_fixture{};
+    auto const report = fixture.apply(
         "bad",
         "[profile p]\nservice = nowhere\npriority = late\nretries = x\n" );
     CHECK( report.outcome == change_outcome::faulty );
-    CHECK( report.found.all().size() == 3 );
-    CHECK( one.store.content().empty() );
+    CHECK( report.findings.all().size() == 3 );
+    CHECK( fixture.store.content().empty() );
 }
 
-TEST_CASE( "a revision never goes back", "[configuration]" )
+TEST_CASE( "the revision in force never decreases", "[configuration]" )
 {
-    auto one = one_publisher{};
-    REQUIRE( one.apply( "first", sample_document( 1 ) ).outcome ==
+    auto fixture = publisher_fixture{};
+    REQUIRE( fixture.apply( "first", sample_document( 1 ) ).outcome ==
              change_outcome::accepted );
-    auto const old_content = one.store.content();
-    REQUIRE( one.apply( "second", sample_document( 2 ) ).outcome ==
+    auto const old_content = fixture.store.content();
+    REQUIRE( fixture.apply( "second", sample_document( 2 ) ).outcome ==
              change_outcome::accepted );
-    auto follower =
-        state::configuration_follower( one.store, one.codec, one.holder, 1 );
+    auto follower = state::configuration_follower( fixture.store, fixture.codec,
+                                                   fixture.holder, 1 );
     follower.follow_once();
-    REQUIRE( one.holder.revision() == core::revision( 2 ) );
+    REQUIRE( fixture.holder.revision() == core::revision( 2 ) );
 
-    SECTION( "when the store comes back older" )
+    SECTION( "when the store is restored to an older state" )
     {
-        one.store.restore( old_content );
+        fixture.store.restore( old_content );
         follower.follow_once();
-        CHECK( one.holder.revision() == core::revision( 2 ) );
+        CHECK( fixture.holder.revision() == core::revision( 2 ) );
         CHECK( follower.refused.value() == 1 );
     }
-    SECTION( "when a change is made on the older store" )
+    SECTION( "when a change is made on the restored store" )
     {
-        one.store.restore( old_content );
-        auto const report = one.apply( "third", sample_document( 3 ) );
+        fixture.store.restore( old_content );
+        auto const report = fixture.apply( "third", sample_document( 3 ) );
         REQUIRE( report.outcome == change_outcome::accepted );
         CHECK( report.revision == core::revision( 3 ) );
         follower.follow_once();
-        CHECK( one.holder.revision() == core::revision( 3 ) );
-        CHECK( has_profile( one.holder, "quick-3" ) );
+        CHECK( fixture.holder.revision() == core::revision( 3 ) );
+        CHECK( has_profile( fixture.holder, "quick-3" ) );
     }
-    SECTION( "when a bundle is altered on its way" )
+    SECTION( "when a document does not match its hash" )
     {
-        auto bundle = one.holder.bundle();
+        auto bundle = fixture.holder.bundle();
         bundle.head.revision = core::revision( 9 );
         bundle.texts.begin()->second += " ";
-        CHECK_FALSE( one.holder.adopt( bundle ) );
-        CHECK( one.holder.revision() == core::revision( 2 ) );
+        CHECK_FALSE( fixture.holder.adopt( bundle ) );
+        CHECK( fixture.holder.revision() == core::revision( 2 ) );
     }
 }
--- a/tests/support/test_configuration.cpp
+++ b/tests/support/test_configuration.cpp
@@ -26,9 +26,9 @@
 }
 
 auto change_of( std::string const& id, std::string const& text )
-    -> state::wanted_change
+    -> state::requested_change
 {
-    auto wanted = state::wanted_change{};
+    auto wanted = state::requested_change{};
     wanted.id = state::change_id( id );
     wanted.author = "test";
     wanted.put["sample.ini"] = text;
