--- a/src/pollenstream/admission/admission_check.cpp
+++ b/src/pollenstream/admission/admission_check.cpp
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-/// Share of the time that is left which a prediction may fill.
-constexpr auto most_of_time = 0.95;
+/// Maximum share of the remaining time that a predicted duration may take.
+constexpr auto max_time_share = 0.95;
 
 }
 
@@ -42,21 +42,22 @@
         return admission_refusal{
             "too-long", "the prompt does not fit into all targets together",
             std::nullopt };
-    auto const reading = static_cast<double>( demand.prompt.count() ) /
-                         std::max( 1.0, capacity.prefill_rate );
-    return check_time( core::duration_of( reading ), demand.time_left );
+    auto const prefill_seconds = static_cast<double>( demand.prompt.count() ) /
+                                 std::max( 1.0, capacity.prefill_rate );
+    return check_time( core::duration_of( prefill_seconds ), demand.time_left );
 }
 
 auto check_time( core::duration predicted_finish, core::duration time_left )
     -> std::optional<admission_refusal>
 {
-    auto const left = core::seconds_of( time_left ) * most_of_time;
-    auto const over = core::seconds_of( predicted_finish ) - left;
-    if ( over <= 0 )
+    auto const allowed_seconds = core::seconds_of( time_left ) * max_time_share;
+    auto const excess_seconds =
+        core::seconds_of( predicted_finish ) - allowed_seconds;
+    if ( excess_seconds <= 0 )
         return std::nullopt;
     return admission_refusal{ "too-late",
                               "the answer would come after the deadline",
-                              core::duration_of( over ) + 1s };
+                              core::duration_of( excess_seconds ) + 1s };
 }
 
 }
--- a/src/pollenstream/admission/admission_check.hpp
+++ b/src/pollenstream/admission/admission_check.hpp
@@ -11,15 +11,15 @@
 namespace pollenstream::admission
 {
 
-/// What all living targets of a service can do together.
+/// Combined capacity of all live targets of a service.
 struct service_capacity
 {
-    std::int64_t alive{ 0 };
+    std::int64_t alive{ 0 }; ///< number of targets
     std::int64_t memory_tokens{ 0 };
-    double prefill_rate{ 0 }; ///< tokens a second
+    double prefill_rate{ 0 }; ///< tokens per second
 };
 
-/// What a request asks of a service.
+/// Resources that a request needs.
 struct admission_demand
 {
     core::token_count prompt;
@@ -27,26 +27,30 @@
     core::duration time_left{ 0 };
 };
 
-/// Why a request is not admitted; nothing of it has been run.
+/// Why a request is not admitted. No part of it has been run.
 struct admission_refusal
 {
     std::string reason;
     std::string detail;
-    std::optional<core::duration> retry_after; ///< absent: never
+    std::optional<core::duration> retry_after; ///< absent: do not retry
 };
 
+/// Returns the combined capacity of the targets that are alive.
 auto capacity_of( routing::target_list const& targets ) -> service_capacity;
 
-/// Refuses what no target, or all of them together, can hold or read in time.
+/// Refuses a request if no target is alive, if its tokens do not fit into the
+/// combined memory of all targets, or if their combined prefill rate is too low
+/// for its deadline.
 auto check_capacity( service_capacity const& capacity,
                      admission_demand const& demand )
     -> std::optional<admission_refusal>;
 
-/// Refuses what is predicted to end too late.
+/// Refuses a request if `predicted_finish` comes too close to its deadline or
+/// after it.
 auto check_time( core::duration predicted_finish, core::duration time_left )
     -> std::optional<admission_refusal>;
 
-/// How long a caller waits before it asks a service without targets again.
+/// Retry-after time of a service that has no targets.
 inline constexpr auto retry_without_target =
     core::duration( std::chrono::seconds( 2 ) );
 
--- a/src/pollenstream/admission/retry_budget.cpp
+++ b/src/pollenstream/admission/retry_budget.cpp
@@ -12,24 +12,25 @@
 
 auto retry_budget::give_back() -> void
 {
-    add( cost );
+    add( retry_cost );
 }
 
 auto retry_budget::add( std::int64_t credit ) -> void
 {
-    auto seen = credit_.load( std::memory_order_relaxed );
-    while ( seen < most && !credit_.compare_exchange_weak(
-                               seen, std::min( most, seen + credit ) ) )
+    auto current = credit_.load( std::memory_order_relaxed );
+    while ( current < max_credit &&
+            !credit_.compare_exchange_weak(
+                current, std::min( max_credit, current + credit ) ) )
     {
     }
 }
 
 auto retry_budget::take() -> bool
 {
-    auto seen = credit_.load( std::memory_order_relaxed );
-    while ( seen >= cost )
+    auto current = credit_.load( std::memory_order_relaxed );
+    while ( current >= retry_cost )
     {
-        if ( credit_.compare_exchange_weak( seen, seen - cost ) )
+        if ( credit_.compare_exchange_weak( current, current - retry_cost ) )
             return true;
     }
     return false;
--- a/src/pollenstream/admission/retry_budget.hpp
+++ b/src/pollenstream/admission/retry_budget.hpp
@@ -7,24 +7,26 @@
 namespace pollenstream::admission
 {
 
-/// Bounds retries to a part of the requests, so that an outage of targets is
-/// not multiplied: each first attempt earns a tenth of a retry.
+/// Limits retries to a tenth of the requests, so that retries do not multiply
+/// the load during an outage of targets. Each request adds a tenth of a retry
+/// to the budget, which starts full with 100 retries and holds no more.
 class retry_budget
 {
 public:
+    /// Adds the credit of one request.
     auto note_request() -> void;
-    /// Takes one retry; false where the budget is empty.
+    /// Takes one retry; returns false if the budget is exhausted.
     auto take() -> bool;
-    /// A retry that was taken has not been sent.
+    /// Returns a retry that was taken but not sent.
     auto give_back() -> void;
 
 private:
     auto add( std::int64_t credit ) -> void;
 
-    static constexpr auto cost = std::int64_t{ 10 };
-    static constexpr auto most = std::int64_t{ 100 } * cost;
+    static constexpr auto retry_cost = std::int64_t{ 10 };
+    static constexpr auto max_credit = std::int64_t{ 100 } * retry_cost;
 
-    std::atomic<std::int64_t> credit_{ most };
+    std::atomic<std::int64_t> credit_{ max_credit };
 };
 
 }
--- a/src/pollenstream/admission/token_bucket.hpp
+++ b/src/pollenstream/admission/token_bucket.hpp
@@ -6,27 +6,28 @@
 namespace pollenstream::admission
 {
 
-/// Allows `rate` units a second with bursts of up to `burst_seconds` of it.
-/// Not safe for several threads.
+/// Token bucket: allows `rate` units per second and, after idle time, a burst
+/// of `burst_seconds` at that rate. Not thread-safe.
 class token_bucket
 {
 public:
-    /// Takes `amount`, or says after what time that can succeed. A bucket
-    /// that is full lets one larger amount pass and goes into debt for it.
+    /// Takes `amount` and returns 0, or takes nothing and returns the time
+    /// after which it can succeed. A full bucket lets an amount above its
+    /// capacity pass; its level is negative until the rate has refilled it.
     auto
     take( double amount, double rate, double burst_seconds, core::instant now )
         -> core::duration;
 
-    /// When the bucket was used last.
+    /// Time of the last call of `take`.
     [[nodiscard]] auto used_at() const -> core::instant
     {
-        return at_;
+        return used_at_;
     }
 
 private:
     double level_{ 0 };
-    core::instant at_;
-    bool fresh_{ true };
+    core::instant used_at_;
+    bool is_new_{ true };
 };
 
 }
--- a/src/pollenstream/admission/workspace_limits.cpp
+++ b/src/pollenstream/admission/workspace_limits.cpp
@@ -9,39 +9,41 @@
 {
 
 constexpr auto burst_seconds = 2.0;
-/// Least part that an instance hands out, so that a caller that comes to an
-/// instance which is no home of its workspace is slowed and not shut out.
-constexpr auto least_part = 0.01;
+/// Minimum share that an instance grants. A caller whose requests reach an
+/// instance that is not a limit owner of its workspace is throttled, but not
+/// refused altogether.
+constexpr auto min_share = 0.01;
 
 }
 
 auto workspace_limits::take( profiles::workspace const& limits,
-                             double part,
+                             double share,
                              core::token_count prompt_tokens,
                              core::instant now ) -> core::duration
 {
-    auto const none = core::duration( 0 );
+    auto const no_wait = core::duration( 0 );
     if ( limits.requests_per_second == 0 && limits.tokens_per_second == 0 )
-        return none;
-    auto const kept = std::max( part, least_part );
-    auto const slot =
+        return no_wait;
+    auto const granted_share = std::max( share, min_share );
+    auto const shard_index =
         std::hash<core::workspace_id>{}( limits.id ) % shard_count;
-    auto& shard = shards_[slot];
+    auto& shard = shards_[shard_index];
     auto const lock = std::scoped_lock( shard.mutex );
-    auto& own = shard.by_workspace[limits.id];
+    auto& state = shard.by_workspace[limits.id];
     if ( limits.requests_per_second > 0 )
     {
         auto const rate =
-            kept * static_cast<double>( limits.requests_per_second );
-        auto const wait = own.requests.take( 1, rate, burst_seconds, now );
-        if ( wait > none )
+            granted_share * static_cast<double>( limits.requests_per_second );
+        auto const wait = state.requests.take( 1, rate, burst_seconds, now );
+        if ( wait > no_wait )
             return wait;
     }
     if ( limits.tokens_per_second == 0 )
-        return none;
-    auto const rate = kept * static_cast<double>( limits.tokens_per_second );
+        return no_wait;
+    auto const rate =
+        granted_share * static_cast<double>( limits.tokens_per_second );
     auto const tokens = static_cast<double>( prompt_tokens.count() );
-    return own.tokens.take( tokens, rate, burst_seconds, now );
+    return state.tokens.take( tokens, rate, burst_seconds, now );
 }
 
 auto workspace_limits::forget_idle( core::instant before ) -> void
@@ -52,9 +54,9 @@
         std::erase_if( shard.by_workspace,
                        [&]( auto const& each )
                        {
-                           auto const& own = each.second;
-                           return std::max( own.requests.used_at(),
-                                            own.tokens.used_at() ) < before;
+                           auto const& state = each.second;
+                           return std::max( state.requests.used_at(),
+                                            state.tokens.used_at() ) < before;
                        } );
     }
 }
--- a/src/pollenstream/admission/workspace_limits.hpp
+++ b/src/pollenstream/admission/workspace_limits.hpp
@@ -13,22 +13,24 @@
 namespace pollenstream::admission
 {
 
-/// This instance's part of each workspace's limits. `part` is the share of
-/// the whole limit that this instance may hand out, from 0 to 1; the homes of
-/// a workspace divide it between them (see `membership::limit_owners`).
+/// Enforces this instance's share of the rate limits of each workspace. `share`
+/// is the part of the whole limit that this instance may grant, from 0 to 1;
+/// the limit owners of a workspace divide its limit between them (see
+/// `membership::limit_owners`).
 class workspace_limits
 {
 public:
-    /// Takes one request of `prompt_tokens`. Returns 0, or after what time it
-    /// can succeed.
+    /// Takes one request with `prompt_tokens` from the limits. Returns 0, or
+    /// the time after which it can succeed.
     auto take( profiles::workspace const& limits,
-               double part,
+               double share,
                core::token_count prompt_tokens,
                core::instant now ) -> core::duration;
 
-    /// Forgets workspaces that are idle since `before`.
+    /// Removes the state of workspaces without requests since `before`.
     auto forget_idle( core::instant before ) -> void;
 
+    /// Number of workspaces with state.
     [[nodiscard]] auto size() const -> std::size_t;
 
 private:
--- a/tests/admission/limits_test.cpp
+++ b/tests/admission/limits_test.cpp
@@ -15,18 +15,19 @@
 
 auto const start = core::instant( 100s );
 
-/// Requests let through in `seconds`, with one try each 5 ms.
-auto passed( admission::workspace_limits& limits,
-             profiles::workspace const& workspace,
-             double part,
-             int seconds ) -> int
+/// Returns how many requests are admitted in `seconds`, with an attempt every
+/// 5 ms.
+auto count_admitted( admission::workspace_limits& limits,
+                     profiles::workspace const& workspace,
+                     double share,
+                     int seconds ) -> int
 {
     auto count = 0;
     for ( auto now = start; now < start + std::chrono::seconds( seconds );
           now += 5ms )
     {
         auto const wait =
-            limits.take( workspace, part, core::token_count( 1 ), now );
+            limits.take( workspace, share, core::token_count( 1 ), now );
         count += wait == core::duration( 0 ) ? 1 : 0;
     }
     return count;
@@ -34,19 +35,20 @@
 
 }
 
-TEST_CASE( "a workspace gets its rate and a short burst", "[limits]" )
+TEST_CASE( "a workspace may use its rate plus a short burst", "[limits]" )
 {
     auto limits = admission::workspace_limits();
     auto const workspace =
         profiles::workspace{ core::workspace_id( "w" ), 1, 30, 0 };
-    // Two seconds of burst beside ten seconds of the rate.
-    CHECK( passed( limits, workspace, 1.0, 10 ) == Approx( 360 ).margin( 5 ) );
-    auto thirds = admission::workspace_limits();
-    CHECK( passed( thirds, workspace, 1.0 / 3, 10 ) ==
+    // 10 s at the rate of 30 requests per second, plus a burst of 2 s.
+    CHECK( count_admitted( limits, workspace, 1.0, 10 ) ==
+           Approx( 360 ).margin( 5 ) );
+    auto third = admission::workspace_limits();
+    CHECK( count_admitted( third, workspace, 1.0 / 3, 10 ) ==
            Approx( 120 ).margin( 5 ) );
 }
 
-TEST_CASE( "a refused request is told when to come back, honestly", "[limits]" )
+TEST_CASE( "a refused amount can be taken after the returned time", "[limits]" )
 {
     auto bucket = admission::token_bucket();
     REQUIRE( bucket.take( 20, 10, 2, start ) == core::duration( 0 ) );
@@ -55,7 +57,7 @@
     CHECK( bucket.take( 5, 10, 2, start + wait ) == core::duration( 0 ) );
 }
 
-TEST_CASE( "one prompt larger than the burst passes and is paid back",
+TEST_CASE( "a prompt larger than the burst passes and delays the next ones",
            "[limits]" )
 {
     auto bucket = admission::token_bucket();
@@ -64,7 +66,7 @@
     CHECK( bucket.take( 1, 10, 2, start + 100s ) == core::duration( 0 ) );
 }
 
-TEST_CASE( "idle workspaces are forgotten", "[limits]" )
+TEST_CASE( "the state of idle workspaces is removed", "[limits]" )
 {
     auto limits = admission::workspace_limits();
     auto const workspace =
@@ -76,7 +78,7 @@
     CHECK( limits.size() == 0 );
 }
 
-TEST_CASE( "an outage is not multiplied by retries", "[retries]" )
+TEST_CASE( "retries are limited to a tenth of the requests", "[retries]" )
 {
     auto budget = admission::retry_budget();
     auto retries = 0;
@@ -89,7 +91,7 @@
     CHECK( retries >= 1'000 );
 }
 
-TEST_CASE( "what would end too late is refused with the time to wait",
+TEST_CASE( "a request that would miss its deadline gets a retry-after time",
            "[admission]" )
 {
     CHECK_FALSE( admission::check_time( 9s, 10s ) );
--- a/tests/admission/retry_budget_test.cpp
+++ b/tests/admission/retry_budget_test.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-auto use_up( retry_budget& budget ) -> int
+auto take_all( retry_budget& budget ) -> int
 {
     auto taken = 0;
     while ( budget.take() )
@@ -17,19 +17,19 @@
 
 }
 
-TEST_CASE( "a repeat that was not sent is left to others",
+TEST_CASE( "a retry that was not sent returns to the budget",
            "[admission][retries]" )
 {
     auto budget = retry_budget{};
-    auto const most = use_up( budget );
-    REQUIRE( most > 0 );
+    auto const max_retries = take_all( budget );
+    REQUIRE( max_retries > 0 );
     budget.give_back();
-    CHECK( use_up( budget ) == 1 );
+    CHECK( take_all( budget ) == 1 );
 
-    SECTION( "and no more than the budget ever holds" )
+    SECTION( "returned retries do not raise the budget above its maximum" )
     {
-        for ( auto i = 0; i < 2 * most; ++i )
+        for ( auto i = 0; i < 2 * max_retries; ++i )
             budget.give_back();
-        CHECK( use_up( budget ) == most );
+        CHECK( take_all( budget ) == max_retries );
     }
 }
