--- a/src/pollenstream/registry/quarantine_records.cpp
+++ b/src/pollenstream/registry/quarantine_records.cpp
@@ -94,8 +94,8 @@
                                        std::string const& value ) -> void
 {
     // A record has no timestamp that is valid on all instances. Its crashes are
-    // treated as new, so the quarantine holds at least as long as the entries
-    // of the crashed targets can remain in the store.
+    // treated as new, so the quarantine is kept at least until the entries of
+    // ended targets have lapsed (see `crash_history::review`).
     auto const runs = codec_.read_quarantine( key, value, scheduler_.now() );
     if ( runs.has_error() )
         return;
--- a/src/pollenstream/registry/registry_watch.hpp
+++ b/src/pollenstream/registry/registry_watch.hpp
@@ -154,7 +154,7 @@
     ports::store_revision known_until_;
     exchange::configuration_ptr configuration_;
     bool reads_store_{ true };
-    bool call_in_progress_{ false }; ///< a store call is in progress
+    bool call_in_progress_{ false }; ///< to the store
     bool store_serves_{ false };
     bool has_served_{ false };
     /// Until when entries may have lapsed, as reported by instances that read
--- a/src/pollenstream/state/configuration_publisher.cpp
+++ b/src/pollenstream/state/configuration_publisher.cpp
@@ -185,7 +185,7 @@
 auto configuration_publisher::load_base( stored_head const& stored )
     -> core::result<configuration_bundle>
 {
-    // A store restored from a backup may hold an older revision. Revisions must
+    // After an outage the store may hold an older revision. Revisions must
     // not decrease, so build on the newer one in force on this instance.
     if ( holder_.revision() > stored.head.revision )
         return holder_.bundle();
