--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -169,7 +169,7 @@
             callback( refused_outcome( "bad-ticket", ticket.error().detail ) );
             return;
         }
-        if ( !ledger_.is_ours( ticket.value() ) )
+        if ( !ledger_.names_this_incarnation( ticket.value() ) )
         {
             forward( incoming, ticket.value(), callback );
             return;
@@ -226,7 +226,7 @@
                                std::to_string( next_key_.fetch_add( 1 ) );
         ticket = state::parse_ticket( generated ).value();
     }
-    if ( !ledger_.is_ours( ticket ) )
+    if ( !ledger_.names_this_incarnation( ticket ) )
     {
         callback( unknown_outcome( "ticket-lost",
                                    "the incarnation that the ticket names has "
@@ -251,12 +251,12 @@
                               "run" ) );
         return;
     }
-    if ( step == state::call_ledger::step::closed )
+    if ( step == state::call_ledger::begin_result::closed )
     {
         callback( refused_outcome( "leaving", "this instance is stopping" ) );
         return;
     }
-    if ( step == state::call_ledger::step::wait )
+    if ( step == state::call_ledger::begin_result::wait )
         return;
     auto keyed_call = incoming.call;
     keyed_call.key = ticket.key;
--- a/tests/support/test_configuration.cpp
+++ b/tests/support/test_configuration.cpp
@@ -28,7 +28,7 @@
 auto make_change( std::string const& id, std::string const& text )
     -> state::wanted_change
 {
-    auto wanted = state::wanted_change{};
+    auto wanted = state::requested_change{};
     wanted.id = state::change_id( id );
     wanted.author = "test";
     wanted.put["sample.ini"] = text;
