--- a/src/pollenstream/sessions/gateway.cpp
+++ b/src/pollenstream/sessions/gateway.cpp
@@ -244,7 +244,7 @@
     auto const scope = ledger_scope( incoming );
     auto const step =
         ledger_.begin( ticket, scope, context_.clock.now(), callback );
-    if ( step == state::call_ledger::step::expired )
+    if ( step == state::call_ledger::begin_result::expired )
     {
         callback( unknown_outcome(
             "ticket-expired", "the ticket's time is over; the call may have "
--- a/tests/state/configuration_test.cpp
+++ b/tests/state/configuration_test.cpp
@@ -75,9 +75,9 @@
     }
     SECTION( "it is unknown if the store is unreachable after the write" )
     {
-        auto cut = disconnecting_store( one.store );
-        auto publisher =
-            state::configuration_publisher( cut, one.codec, one.holder );
+        auto cut = disconnecting_store( fixture.store );
+        auto publisher = state::configuration_publisher( cut, fixture.codec,
+                                                         fixture.holder );
         auto const report =
             publisher.apply( make_change( "second", sample_document( 2 ) ) );
         CHECK( report.outcome == change_outcome::unknown );
--- a/tests/support/exchange_fleet.cpp
+++ b/tests/support/exchange_fleet.cpp
@@ -637,7 +637,7 @@
         for ( auto const& properties : service->properties() )
             instance->loads.put( properties );
     for ( auto const& [key, value] : store.records )
-        instance->records.take( key, value );
+        instance->records.apply_record( key, value );
 }
 
 auto exchange_fleet::deliver_record( std::string const& key,
@@ -649,7 +649,7 @@
         {
             for ( auto const& one : instances_ )
                 if ( one && !disconnected_.contains( one->ip ) )
-                    one->records.take( key, value );
+                    one->records.apply_record( key, value );
         } ) );
 }
 
--- a/tests/support/test_configuration.cpp
+++ b/tests/support/test_configuration.cpp
@@ -26,7 +26,7 @@
 }
 
 auto make_change( std::string const& id, std::string const& text )
-    -> state::wanted_change
+    -> state::requested_change
 {
     auto wanted = state::requested_change{};
     wanted.id = state::change_id( id );
--- a/tests/support/test_configuration.hpp
+++ b/tests/support/test_configuration.hpp
@@ -20,7 +20,7 @@
 auto sample_document( int number ) -> std::string;
 
 auto make_change( std::string const& id, std::string const& text )
-    -> state::wanted_change;
+    -> state::requested_change;
 
 auto has_profile( state::configuration_holder const& holder,
                   std::string const& name ) -> bool;
