--- a/src/pollenstream/core/address.hpp
+++ b/src/pollenstream/core/address.hpp
@@ -11,7 +11,8 @@
 namespace pollenstream::core
 {
 
-/// An IP number and port. Host names are refused: instances talk by IP number.
+/// An IP address and port. Host names are rejected: instances connect to each
+/// other by IP address only.
 struct address
 {
     std::string ip;
@@ -21,10 +22,10 @@
         -> std::strong_ordering = default;
 };
 
-/// Reads `1.2.3.4:80` or `[::1]:80`.
+/// Parses `1.2.3.4:80` or `[::1]:80`.
 auto parse_address( std::string_view text ) -> result<address>;
 
-/// Writes the form that `parse_address` reads.
+/// Formats `a` in the form that `parse_address` accepts.
 auto to_string( address const& a ) -> std::string;
 
 }
--- a/src/pollenstream/core/counter.hpp
+++ b/src/pollenstream/core/counter.hpp
@@ -7,7 +7,7 @@
 namespace pollenstream::core
 {
 
-/// A count that several threads raise and the state dump reads.
+/// A thread-safe event counter; the state dump reads its value.
 class counter
 {
 public:
--- a/src/pollenstream/core/error.hpp
+++ b/src/pollenstream/core/error.hpp
@@ -9,35 +9,35 @@
 namespace pollenstream::core
 {
 
-/// What went wrong, as far as the next step depends on it.
+/// Kinds of errors, distinguished where they are handled differently.
 enum class error_code
 {
-    malformed,       ///< input that cannot be read
+    malformed,       ///< input that cannot be parsed
     not_found,       ///< no such item
-    conflict,        ///< a compare-and-swap met another version
-    refused,         ///< the other side did not start the work
-    unreachable,     ///< no connection was made: the work did not start
-    connection_lost, ///< lost after sending: whether it ran is unknown
-    timed_out,       ///< no answer in time: whether it ran is unknown
-    too_large,       ///< beyond a stated limit
+    conflict,        ///< a compare-and-swap found another version
+    refused,         ///< the remote side did not start the work
+    unreachable,     ///< no connection was established; the work did not run
+    connection_lost, ///< lost after sending; the work may have run
+    timed_out,       ///< no reply in time; the work may have run
+    too_large,       ///< exceeds a limit
     expired,         ///< a lease, ticket or deadline has passed
-    failed,          ///< the other side ran it and reported a failure
+    failed,          ///< the remote side ran the work and reported a failure
 };
 
 /// Lower-case name of `code`, for logs and problem documents.
 auto name_of( error_code code ) -> std::string_view;
 
-/// An error with the detail that a person needs to act on it.
+/// An error code with a detailed message for humans.
 struct error
 {
     error_code code{ error_code::failed };
     std::string detail;
 };
 
-/// True where the work can be proved not to have started.
+/// True if `code` guarantees that the work did not start.
 auto proves_not_run( error_code code ) -> bool;
 
-/// A value or an `error`. Observers do not check: test before use.
+/// A value or an `error`. Accessors are unchecked: call `has_value()` first.
 template <class T>
 using result = boost::outcome_v2::
     basic_result<T, error, boost::outcome_v2::policy::all_narrow>;
--- a/src/pollenstream/core/finding.hpp
+++ b/src/pollenstream/core/finding.hpp
@@ -7,23 +7,23 @@
 namespace pollenstream::core
 {
 
-/// Where in a settings or profile text a finding was made.
+/// The location in a settings or profile text that a finding refers to.
 struct text_place
 {
     std::string file;
-    int line{ 0 };   ///< from 1; 0 where the text lacks something
-    std::string key; ///< `section.key`, empty where no key is meant
+    int line{ 0 }; ///< counted from 1; 0 if something is missing from the text
+    std::string key; ///< such as `section.key`; empty if no key is concerned
 };
 
-/// One fault in an operator's input. Checks go on after a finding, so that
-/// all of them are reported together.
+/// One error in an operator's input. Checks continue after a finding, so that
+/// all findings are reported together.
 struct finding
 {
     text_place place;
     std::string message;
 };
 
-/// Collects findings in the order in which they were made.
+/// Collects findings in the order in which they are added.
 class findings
 {
 public:
@@ -32,7 +32,7 @@
     [[nodiscard]] auto empty() const noexcept -> bool;
     [[nodiscard]] auto all() const noexcept -> std::vector<finding> const&;
 
-    /// One line a finding: `file:line: key: message`.
+    /// One line per finding: `file:line: key: message`.
     [[nodiscard]] auto report() const -> std::string;
 
 private:
--- a/src/pollenstream/core/hash.hpp
+++ b/src/pollenstream/core/hash.hpp
@@ -8,12 +8,12 @@
 namespace pollenstream::core
 {
 
-/// 64-bit hash that is the same in every process and on every run.
+/// 64-bit hash whose value is the same in every process and every run.
 auto stable_hash( std::string_view text, std::uint64_t seed = 0 )
     -> std::uint64_t;
 
-/// 128-bit hash of `text` as 32 hexadecimal digits; names a document by its
-/// content.
+/// 128-bit hash of `text` as 32 hexadecimal digits; identifies a document by
+/// its content.
 auto content_hash( std::string_view text ) -> std::string;
 
 }
--- a/src/pollenstream/core/invariant.hpp
+++ b/src/pollenstream/core/invariant.hpp
@@ -13,24 +13,24 @@
 namespace pollenstream::core
 {
 
-/// The promises that the program checks while it runs.
+/// Invariants that are checked at run time, also in production.
 enum class invariant
 {
     ends_in_time,         ///< an admitted request ends by its deadline
-    memory_is_returned,   ///< engine memory held has a living owner
-    answer_is_whole,      ///< a caller reads its own answer, in order, once
+    memory_is_returned,   ///< memory held at an engine has a live owner
+    answer_is_whole,      ///< a caller gets its own answer, in order, once
     not_run_is_true,      ///< nothing was sent before a "not run" refusal
     at_most_once,         ///< a non-idempotent call is sent once
     leaving_gets_no_work, ///< a leaving target is not chosen
-    stop_cuts_nothing,    ///< a planned stop ends with no open request
+    stop_cuts_nothing,    ///< a planned shutdown leaves no open request
     revision_only_rises,  ///< an adopted configuration is never older
-    pause_holds,          ///< a target that wants nothing now is sent nothing
-    limit_holds,          ///< a target gets no more than it takes
-    quarantine_holds,     ///< what ends its targets is not sent again
+    pause_holds,          ///< nothing is sent to a target while it is paused
+    limit_holds,          ///< a target gets no more than its limit allows
+    quarantine_holds,     ///< quarantined content is not sent again
     number_of_invariants,
 };
 
-/// Stable name of `which`, as it stands in the state dump.
+/// Stable name of `which`, as used in the state dump.
 auto name_of( invariant which ) -> std::string_view;
 
 /// Counts checks and violations of each invariant.
@@ -39,18 +39,19 @@
 public:
     using handler = std::function<void( invariant, std::string const& )>;
 
-    /// The monitor of this process.
+    /// The process-wide monitor.
     static auto instance() -> invariant_monitor&;
 
-    /// Counts one check; on a violation calls the handler with `detail`.
+    /// Counts one check; if `holds` is false, also counts a violation and
+    /// calls the handler with `detail`.
     auto check( invariant which, bool holds, std::string_view detail ) -> void;
 
     [[nodiscard]] auto checks( invariant which ) const -> std::uint64_t;
     [[nodiscard]] auto violations( invariant which ) const -> std::uint64_t;
 
-    /// Replaces what a violation does, and gives the former handler back.
-    /// The default logs the first violation of each kind and, in test builds,
-    /// aborts.
+    /// Replaces the handler that is called on a violation and returns the
+    /// former one. The default prints each violation to standard error and,
+    /// if built with `POLLENSTREAM_ABORT_ON_VIOLATION`, aborts.
     auto set_handler( handler on_violation ) -> handler;
 
 private:
--- a/src/pollenstream/core/name_counts.hpp
+++ b/src/pollenstream/core/name_counts.hpp
@@ -9,17 +9,18 @@
 namespace pollenstream::core
 {
 
-/// Counts by names that others choose: a bounded number of them, and all
-/// others together. Used by one thread.
+/// Counts occurrences of names that come from outside the process. To bound
+/// memory, only the first `max_names` names have an entry each; all further
+/// names share one. Not thread-safe.
 class name_counts
 {
 public:
     static constexpr auto max_names = std::size_t{ 32 };
-    /// Under which names are counted that have no place any more.
+    /// The entry that all further names share.
     static constexpr auto others = "others";
 
-    /// Counts `name` once; true where it is seen for the first time and has a
-    /// place of its own.
+    /// Counts one occurrence of `name`; true if that gave it a new entry of its
+    /// own.
     auto add( std::string const& name ) -> bool
     {
         auto const found = counts_.find( name );
@@ -28,9 +29,9 @@
             ++found->second;
             return false;
         }
-        auto const has_place = counts_.size() < max_names;
-        ++counts_[has_place ? name : others];
-        return has_place;
+        auto const has_own_entry = counts_.size() < max_names;
+        ++counts_[has_own_entry ? name : others];
+        return has_own_entry;
     }
     [[nodiscard]] auto all() const
         -> std::map<std::string, std::uint64_t> const&
--- a/src/pollenstream/core/prefix_chain.cpp
+++ b/src/pollenstream/core/prefix_chain.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-constexpr auto first_mark = std::int64_t{ 1024 };
-constexpr auto growth = 4;
+constexpr auto shortest_prefix = std::int64_t{ 1024 };
+constexpr auto prefix_growth = 4;
 
-struct free_state
+struct state_deleter
 {
     auto operator()( XXH3_state_t* state ) const -> void
     {
@@ -34,12 +34,13 @@
 auto mark_prefixes( std::string_view prompt ) -> prefix_chain
 {
     auto const state =
-        std::unique_ptr<XXH3_state_t, free_state>( XXH3_createState() );
+        std::unique_ptr<XXH3_state_t, state_deleter>( XXH3_createState() );
     XXH3_64bits_reset( state.get() );
     auto chain = prefix_chain{};
     auto const length = estimate_tokens( prompt ).count();
     auto hashed = std::size_t{ 0 };
-    for ( auto tokens = first_mark; tokens <= length; tokens *= growth )
+    for ( auto tokens = shortest_prefix; tokens <= length;
+          tokens *= prefix_growth )
     {
         auto const end =
             std::min( prompt.size(),
--- a/src/pollenstream/core/prefix_chain.hpp
+++ b/src/pollenstream/core/prefix_chain.hpp
@@ -19,17 +19,19 @@
     friend auto operator==( prefix_mark, prefix_mark ) -> bool = default;
 };
 
-/// Marks of one prompt, shortest first. Marks stand at lengths that grow
-/// fourfold, so that a prompt of a million tokens has six.
+/// Prefix hashes of one prompt, shortest first. Each prefix is four times as
+/// long as the one before, from 1024 tokens: a prompt of 1048576 tokens has
+/// six.
 using prefix_chain = std::vector<prefix_mark>;
 
-/// Bytes of prompt that are taken for one token before an engine has counted.
+/// Assumed bytes per prompt token, used until an engine has counted the tokens.
 inline constexpr auto bytes_per_token = std::int64_t{ 4 };
 
-/// Estimated length of `prompt`; at least one token.
+/// Estimated length of `prompt` in tokens; at least one.
 auto estimate_tokens( std::string_view prompt ) -> token_count;
 
-/// The marks of `prompt`.
+/// Hashes the prefixes of `prompt`; the chain is empty for a prompt of less
+/// than 1024 tokens.
 auto mark_prefixes( std::string_view prompt ) -> prefix_chain;
 
 }
--- a/src/pollenstream/core/snapshot.hpp
+++ b/src/pollenstream/core/snapshot.hpp
@@ -11,8 +11,8 @@
 namespace pollenstream::core
 {
 
-/// A value that many threads read without a lock and few replace as a whole
-/// (read-copy-update). A reader sees one version from start to end of its call.
+/// A value that threads read without locking and that is only replaced as a
+/// whole (read-copy-update). Each call of `read` sees a single version.
 template <class T>
 class snapshot
 {
@@ -28,7 +28,7 @@
         delete current_.load();
     }
 
-    /// Calls `f` with the present version. `f` must not block, and must not
+    /// Calls `f` with the current version. `f` must not block, and must not
     /// keep a reference after it returns.
     template <class F>
     auto read( F&& f ) const -> decltype( auto )
@@ -38,10 +38,11 @@
         return std::forward<F>( f )( *seen );
     }
 
-    /// Replaces the value, and waits until no reader sees the former one.
+    /// Replaces the value, blocks until no reader uses the former one, and
+    /// then deletes the former one.
     auto publish( std::unique_ptr<T const> next ) -> void
     {
-        auto const lock = std::scoped_lock( writers_ );
+        auto const lock = std::scoped_lock( publish_mutex_ );
         T const* const former = current_.exchange( next.release() );
         urcu_bp_synchronize_rcu();
         delete former;
@@ -60,7 +61,7 @@
         }
     };
 
-    std::mutex writers_;
+    std::mutex publish_mutex_;
     std::atomic<T const*> current_;
 };
 
--- a/src/pollenstream/core/strong.hpp
+++ b/src/pollenstream/core/strong.hpp
@@ -10,8 +10,8 @@
 namespace pollenstream::core
 {
 
-/// A string identifier that cannot be mixed up with another kind of
-/// identifier. `Tag` is an incomplete type that names the kind.
+/// A string identifier with a type of its own for each `Tag`, so that different
+/// kinds do not convert to each other. `Tag` may be incomplete.
 template <class Tag>
 class strong_id
 {
@@ -36,7 +36,8 @@
     std::string value_;
 };
 
-/// An integer quantity or number that cannot be mixed up with another kind.
+/// An integer with a type of its own for each `Tag`, so that different kinds do
+/// not convert to each other. `Tag` may be incomplete.
 template <class Tag>
 class strong_number
 {
--- a/src/pollenstream/core/units.hpp
+++ b/src/pollenstream/core/units.hpp
@@ -11,8 +11,8 @@
 /// A number of model tokens.
 using token_count = strong_number<struct token_count_tag>;
 
-/// Tag clock of the process's monotonic time; it is read only through
-/// `ports::clock`, so that tests can hold it.
+/// Clock type of the process's monotonic time. It has no `now()`: the time is
+/// read through `ports::clock` or `ports::scheduler`, so that tests control it.
 struct monotonic_clock
 {
     using duration = std::chrono::microseconds;
@@ -22,25 +22,25 @@
     static constexpr bool is_steady = true;
 };
 
-/// Span of time, in microseconds.
+/// A time span in microseconds.
 using duration = monotonic_clock::duration;
-/// A point in the process's monotonic time.
+/// A point in time of `monotonic_clock`.
 using instant = monotonic_clock::time_point;
 
-/// The span as a floating-point number of seconds.
+/// Converts a duration to seconds.
 constexpr auto seconds_of( duration d ) noexcept -> double
 {
     return std::chrono::duration<double>( d ).count();
 }
 
-/// The span nearest to `seconds`.
+/// Converts seconds to a duration, truncated to whole microseconds.
 constexpr auto duration_of( double seconds ) noexcept -> duration
 {
     return std::chrono::duration_cast<duration>(
         std::chrono::duration<double>( seconds ) );
 }
 
-/// The span in whole milliseconds, rounded down.
+/// Converts a duration to milliseconds, truncated.
 constexpr auto milliseconds_of( duration d ) noexcept -> std::int64_t
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>( d ).count();
