--- a/src/pollenstream/ports/clock.hpp
+++ b/src/pollenstream/ports/clock.hpp
@@ -8,7 +8,7 @@
 namespace pollenstream::ports
 {
 
-/// Monotonic time of the process.
+/// The process's monotonic time.
 class clock
 {
 public:
@@ -16,8 +16,8 @@
     [[nodiscard]] virtual auto now() const -> core::instant = 0;
 };
 
-/// Calls back at a point in time. A callback runs on the timer's own thread
-/// and must be short.
+/// Runs callbacks at given points in time. They run on the timer's own thread
+/// and must return quickly.
 class timer
 {
 public:
--- a/src/pollenstream/ports/configuration_codec.hpp
+++ b/src/pollenstream/ports/configuration_codec.hpp
@@ -11,7 +11,8 @@
 namespace pollenstream::ports
 {
 
-/// Texts of the configuration as stored and as operators write them.
+/// Converts the configuration from and to its stored text, and parses the
+/// documents that operators write.
 class configuration_codec
 {
 public:
@@ -21,7 +22,7 @@
         -> std::string = 0;
     virtual auto read_head( std::string const& text ) const
         -> core::result<state::configuration_head> = 0;
-    /// Reads one operators' document; faults become findings under `name`.
+    /// Parses one operator document; errors are added to `found` under `name`.
     virtual auto read_document( std::string const& name,
                                 std::string const& text,
                                 core::findings& found ) const
--- a/src/pollenstream/ports/engine.hpp
+++ b/src/pollenstream/ports/engine.hpp
@@ -19,37 +19,38 @@
 namespace pollenstream::ports
 {
 
-/// Where an engine is, and which one it is.
+/// Id and network address of an engine.
 struct engine_endpoint
 {
     core::target_id id;
     core::address address;
 };
 
-/// What an engine says of itself; a fact of the time when it was taken.
+/// Load that an engine reports about itself, as of the time of the report.
 struct load_report
 {
-    /// Prompt tokens still to be read, by the priority of their requests.
+    /// Prompt tokens still to be prefilled, by the priority of their requests.
     std::array<std::int64_t, profiles::priority_count> backlog{};
-    std::int64_t requests{ 0 };     ///< streams waiting, reading or writing
-    std::int64_t memory_used{ 0 };  ///< tokens of KV memory in use
-    std::int64_t memory_total{ 0 }; ///< tokens of KV memory
-    double prefill_rate{ 0 };       ///< prompt tokens a second
-    double decode_rate{ 0 };        ///< tokens a second of one stream
-    double step_seconds{ 0 };       ///< length of the present batch step
-    /// Prefixes that it cached lately; late, and not all of them.
+    std::int64_t requests{ 0 };     ///< streams waiting, prefilling or decoding
+    std::int64_t memory_used{ 0 };  ///< KV memory in use, in tokens
+    std::int64_t memory_total{ 0 }; ///< KV memory in total, in tokens
+    double prefill_rate{ 0 };       ///< prompt tokens per second
+    double decode_rate{ 0 };        ///< tokens per second of one stream
+    double step_seconds{ 0 };       ///< duration of the current batch step
+    /// Recently cached prefixes; may be outdated and incomplete.
     std::vector<core::prefix_mark> cached;
-    core::duration age{ 0 }; ///< how old the engine says this is
+    core::duration age{ 0 }; ///< age of the report, as stated by the engine
 };
 
-/// Who asks an engine to hold memory; an orphan is found by it.
+/// The instance for which an engine holds memory; used to find memory whose
+/// owner no longer exists.
 struct memory_owner
 {
     core::instance_id instance;
     core::incarnation incarnation;
 };
 
-/// One attempt at one request.
+/// One attempt of a request.
 struct engine_request
 {
     core::request_id request;
@@ -59,19 +60,20 @@
     profiles::priority priority{ profiles::priority::normal };
     std::shared_ptr<std::string const> prompt;
     core::token_count prompt_tokens;
-    core::prefix_chain prefixes; ///< what the engine may have cached
-    /// Tokens that the caller already has from a former attempt; the engine
-    /// reads them after the prompt and goes on behind them.
+    core::prefix_chain prefixes; ///< prefixes that the engine may have cached
+    /// Text that the caller already has from a former attempt; the engine
+    /// prefills it after the prompt and continues from its end.
     std::string delivered;
     std::int64_t from_position{ 0 };
     core::token_count max_tokens;
-    core::duration time_left{ 0 }; ///< the engine drops the stream after it
-    /// Reservations that hold the prompt, in order; empty where one engine
-    /// holds all of it.
+    core::duration time_left{ 0 }; ///< the engine ends the stream after this
+    /// Reservations that hold the spans of a split prompt, in order; empty if
+    /// one engine holds the whole prompt.
     std::vector<core::reservation_id> spans;
 };
 
-/// One step of an answer. `position` counts tokens from 0 over all attempts.
+/// One part of a streamed answer. `position` counts tokens from 0 across all
+/// attempts.
 struct engine_event
 {
     core::request_id request;
@@ -82,29 +84,29 @@
     std::optional<load_report> load;
 };
 
-/// Receives one attempt's events. Calls come from several threads, one at a
-/// time, and end with exactly one `on_end`.
+/// Receives the events of one attempt. Calls may come from different threads,
+/// but never at the same time; the last one is exactly one `on_end`.
 class stream_listener
 {
 public:
     virtual ~stream_listener() = default;
 
-    /// All events that were ready at once, in the order of arrival.
+    /// A batch of events that were ready together, in the order of arrival.
     virtual auto on_events( std::vector<engine_event> const& events )
         -> void = 0;
-    /// The stream ended; an error says how far that proves anything.
+    /// The stream ended; the error code tells whether the request may have run.
     virtual auto on_end( core::result<void> status ) -> void = 0;
 };
 
-/// A stream that is open at an engine.
+/// An open stream at an engine.
 class engine_stream
 {
 public:
     virtual ~engine_stream() = default;
-    /// Frees what the engine holds for the stream. May be called twice.
+    /// Ends the stream and frees what the engine holds for it. Idempotent.
     virtual auto cancel() -> void = 0;
-    /// Stops listening over this connection and leaves the stream running at
-    /// the engine, so that it can be resumed over another.
+    /// Stops listening on this connection but leaves the stream running at the
+    /// engine, so that it can be resumed on another connection.
     virtual auto detach() -> void = 0;
 };
 
@@ -117,7 +119,7 @@
     core::duration time_to_live{ 0 }; ///< the engine frees it after this
 };
 
-/// Something that an engine holds memory for.
+/// A stream or reservation for which an engine holds memory.
 struct held_memory
 {
     memory_owner owner;
@@ -126,7 +128,7 @@
     core::token_count tokens;
 };
 
-/// Calls to model engines.
+/// Client for the calls to model engines.
 class engine_client
 {
 public:
@@ -143,8 +145,8 @@
                        std::shared_ptr<stream_listener> listener )
         -> std::shared_ptr<engine_stream> = 0;
 
-    /// Reads on in an attempt that the engine still runs, from
-    /// `request.from_position`, over a new connection.
+    /// Continues to receive an attempt that the engine still runs, from
+    /// `request.from_position`, on a new connection.
     virtual auto resume( engine_endpoint const& engine,
                          engine_request const& request,
                          std::shared_ptr<stream_listener> listener )
@@ -156,18 +158,21 @@
     virtual auto release( engine_endpoint const& engine,
                           core::reservation_id const& reservation,
                           done callback ) -> void = 0;
-    /// Reads `tokens` of the prompt into the reservation's memory.
+    /// Prefills `tokens` of the prompt into the reservation's memory.
     virtual auto fill_span( engine_endpoint const& engine,
                             core::reservation_id const& reservation,
                             core::token_count tokens,
                             core::duration limit,
                             done callback ) -> void = 0;
 
+    /// Fetches the current load report.
     virtual auto load( engine_endpoint const& engine, load_done callback )
         -> void = 0;
+    /// Lists the streams and reservations for which the engine holds memory.
     virtual auto held( engine_endpoint const& engine, held_done callback )
         -> void = 0;
-    /// Frees the stream of `request`, whoever opened it.
+    /// Ends the stream of `request`, whichever instance opened it, and frees
+    /// its memory.
     virtual auto drop( engine_endpoint const& engine,
                        core::request_id const& request,
                        done callback ) -> void = 0;
--- a/src/pollenstream/ports/instance_list.hpp
+++ b/src/pollenstream/ports/instance_list.hpp
@@ -11,14 +11,14 @@
 namespace pollenstream::ports
 {
 
-/// State of an entry in the platform's list, which lags.
+/// State of an entry in the platform's list, which may be outdated.
 enum class listed_state
 {
     live,
     leaving,
 };
 
-/// One pollenstream daemon in the platform's list.
+/// One pollenstream instance in the platform's list.
 struct listed_instance
 {
     core::instance_id id;
@@ -38,19 +38,20 @@
     listed_state state{ listed_state::live };
 };
 
-/// What the platform's list said at one time.
+/// Content of the platform's list at one time.
 struct instance_listing
 {
     std::vector<listed_instance> instances;
     std::vector<listed_target> targets;
 };
 
-/// The platform's lagging list of live and leaving instances and targets.
+/// The platform's list of live and leaving instances and targets; it may be
+/// outdated.
 class instance_list
 {
 public:
     virtual ~instance_list() = default;
-    /// The list, or nothing where it is as it was at the last fetch.
+    /// The list, or `std::nullopt` if it has not changed since the last fetch.
     virtual auto fetch() -> core::result<std::optional<instance_listing>> = 0;
 };
 
--- a/src/pollenstream/ports/peer.hpp
+++ b/src/pollenstream/ports/peer.hpp
@@ -15,17 +15,17 @@
 namespace pollenstream::ports
 {
 
-/// What two instances tell each other in one exchange.
+/// State that each of two instances sends the other in one gossip exchange.
 struct heartbeat
 {
     membership::member sender;
     std::vector<membership::member> changes;
     core::revision revision;
-    std::string fingerprint; ///< of the configuration in force
-    bool wants_all{ false }; ///< the sender has just started
+    std::string fingerprint; ///< hash of the active configuration
+    bool wants_all{ false }; ///< asks for the full member table
 };
 
-/// The configuration of a peer; revision 0 where it has none that is newer.
+/// The configuration of a peer; revision 0 if the peer has no newer one.
 struct peer_configuration
 {
     core::revision revision;
@@ -33,7 +33,7 @@
     std::vector<profiles::document_text> documents;
 };
 
-/// A non-idempotent call on its way to the instance that its ticket names.
+/// A non-idempotent call that is forwarded to the instance named by its ticket.
 struct forwarded_call
 {
     core::service_id service;
@@ -43,7 +43,8 @@
     service_call call;
 };
 
-/// Calls to other instances. They block up to the adapter's timeout.
+/// Client for the calls to other instances; they block up to the adapter's
+/// timeout.
 class peer_client
 {
 public:
@@ -51,19 +52,19 @@
 
     virtual auto exchange( core::address const& peer, heartbeat const& mine )
         -> core::result<heartbeat> = 0;
-    /// The peer's configuration if it is newer, without the documents whose
-    /// hashes are known here.
+    /// Fetches the peer's configuration if it is newer than `newer_than`,
+    /// without the documents whose hashes are in `known_hashes`.
     virtual auto
     fetch_configuration( core::address const& peer,
                          core::revision newer_than,
                          std::vector<std::string> const& known_hashes )
         -> core::result<peer_configuration> = 0;
-    /// Has the peer run `what` within its time.
+    /// Lets the peer execute `what` within the call's remaining time.
     virtual auto call( core::address const& peer, forwarded_call const& what )
         -> core::result<state::call_outcome> = 0;
 };
 
-/// What this instance answers to its peers. Called from several threads.
+/// Handles the calls of peers. Must be thread-safe.
 class peer_handler
 {
 public:
@@ -74,7 +75,7 @@
     on_fetch_configuration( core::revision newer_than,
                             std::vector<std::string> const& known_hashes )
         -> peer_configuration = 0;
-    /// May block until the call's time is over.
+    /// May block until the call's remaining time has passed.
     virtual auto on_call( forwarded_call const& what )
         -> state::call_outcome = 0;
 };
--- a/src/pollenstream/ports/record_store.hpp
+++ b/src/pollenstream/ports/record_store.hpp
@@ -13,12 +13,12 @@
 namespace pollenstream::ports
 {
 
-/// Counts the changes of the whole store.
+/// Revision of the whole store; each change increments it.
 using store_revision = core::strong_number<struct store_revision_tag>;
-/// A lease of the store; 0 is none.
+/// A lease of the store; 0 means no lease.
 using lease_id = core::strong_number<struct lease_id_tag>;
 
-/// One record of the store; without a value it has been removed.
+/// One record of the store; it has no value if it was removed.
 struct record
 {
     std::string key;
@@ -26,20 +26,20 @@
     store_revision revision;
 };
 
-/// Records with the store's revision up to which they are known.
+/// Records, complete up to the store revision `at`.
 struct record_batch
 {
     std::vector<record> records;
     store_revision at;
 };
 
-/// Waiting calls to the platform's store. Each callback runs once, on the
-/// thread that runs the requests.
+/// Asynchronous calls to the platform's store. Each callback runs exactly once,
+/// on the thread that handles requests.
 ///
-/// Errors: `refused` where nothing was done, `expired` where the history that
-/// was asked for is gone or a lease has ended, `conflict` where a condition
-/// did not hold, `unreachable`, `connection_lost` and `timed_out` where a
-/// change may have been made or may still be made.
+/// Errors: `refused` if nothing was done, `expired` if the requested history is
+/// no longer available or the lease has ended, `conflict` if a condition did
+/// not hold, `unreachable`, `connection_lost` and `timed_out` if a change may
+/// have been made or may still be made.
 class record_store
 {
 public:
@@ -49,16 +49,17 @@
 
     virtual ~record_store() = default;
 
-    /// All records whose keys begin with `prefix`. Not a snapshot where there
-    /// are many; the batch's revision is that of the first page.
+    /// All records whose keys begin with `prefix`. They are read page by page:
+    /// more than one page is not a consistent snapshot, and the batch has the
+    /// revision of the first page.
     virtual auto list( std::string const& prefix, batch_done callback )
         -> void = 0;
-    /// Changes after `known`; empty where none comes within `limit`.
+    /// Changes after revision `known`; empty if there is none within `limit`.
     virtual auto watch( std::string const& prefix,
                         store_revision known,
                         core::duration limit,
                         batch_done callback ) -> void = 0;
-    /// Writes `value` under `key` for as long as `lease` lives.
+    /// Writes `value` under `key`; the record is removed when `lease` ends.
     virtual auto put( std::string const& key,
                       std::string const& value,
                       lease_id lease,
--- a/src/pollenstream/ports/scheduler.hpp
+++ b/src/pollenstream/ports/scheduler.hpp
@@ -9,14 +9,14 @@
 namespace pollenstream::ports
 {
 
-/// A call that is due later; destroying it cancels the call.
+/// A pending delayed call; the destructor cancels it.
 class scheduled_call
 {
 public:
     virtual ~scheduled_call() = default;
 };
 
-/// Monotonic time and delayed calls on the thread that runs the requests.
+/// Monotonic time and delayed calls on the thread that handles requests.
 class scheduler
 {
 public:
--- a/src/pollenstream/ports/service_client.hpp
+++ b/src/pollenstream/ports/service_client.hpp
@@ -16,14 +16,14 @@
 struct service_call
 {
     std::string method; ///< HTTP method
-    std::string path;   ///< path below the service's root, with its query
+    std::string path;   ///< path relative to the service's root, with the query
     std::string content_type;
     std::string body;
-    core::idempotency_key key; ///< empty where the caller gave none
+    core::idempotency_key key; ///< empty if the caller gave none
     core::duration time_left{ 0 };
 };
 
-/// A plain service's answer, passed on as it is.
+/// A plain service's reply, passed on unchanged.
 struct service_reply
 {
     int status{ 0 }; ///< HTTP status
@@ -31,7 +31,7 @@
     std::string body;
 };
 
-/// Calls to plain services.
+/// Client for the calls to plain services.
 class service_client
 {
 public:
