--- a/tests/core/invariant_test.cpp
+++ b/tests/core/invariant_test.cpp
@@ -12,38 +12,38 @@
 namespace
 {
 
-/// Collects violations instead of aborting, for as long as it lives.
-class collected_violations
+/// Collects violations instead of aborting, until it is destroyed.
+class violation_collector
 {
 public:
-    collected_violations()
-        : former_( core::invariant_monitor::instance().set_handler(
+    violation_collector()
+        : previous_handler_( core::invariant_monitor::instance().set_handler(
               [this]( core::invariant which, std::string const& )
               {
                   seen.push_back( which );
               } ) )
     {
     }
-    ~collected_violations()
+    ~violation_collector()
     {
-        core::invariant_monitor::instance().set_handler( former_ );
+        core::invariant_monitor::instance().set_handler( previous_handler_ );
     }
-    collected_violations( collected_violations const& ) = delete;
-    auto operator=( collected_violations const& )
-        -> collected_violations& = delete;
+    violation_collector( violation_collector const& ) = delete;
+    auto operator=( violation_collector const& )
+        -> violation_collector& = delete;
 
     std::vector<core::invariant> seen;
 
 private:
-    core::invariant_monitor::handler former_;
+    core::invariant_monitor::handler previous_handler_;
 };
 
 }
 
-TEST_CASE( "a violation is counted and handed on, a check that holds is not",
+TEST_CASE( "only a violated check counts as a violation and calls the handler",
            "[invariants]" )
 {
-    auto violations = collected_violations();
+    auto violations = violation_collector();
     auto& monitor = core::invariant_monitor::instance();
     auto const which = core::invariant::answer_is_whole;
     auto const checks = monitor.checks( which );
@@ -59,7 +59,7 @@
            "[invariants][tickets]" )
 {
     namespace state = pollenstream::state;
-    auto violations = collected_violations();
+    auto violations = violation_collector();
     auto ledger =
         state::call_ledger( core::instance_id( "i" ), core::incarnation( 1 ) );
     auto const ticket =
@@ -75,7 +75,8 @@
     CHECK( violations.seen == std::vector{ core::invariant::at_most_once } );
 }
 
-TEST_CASE( "a target that left seconds ago may get no work", "[invariants]" )
+TEST_CASE( "a target that has been leaving for four seconds gets no work",
+           "[invariants]" )
 {
     auto t = pollenstream::routing::target( {} );
     auto const now = core::instant( 100s );
--- a/tests/core/name_counts_test.cpp
+++ b/tests/core/name_counts_test.cpp
@@ -4,7 +4,7 @@
 
 using pollenstream::core::name_counts;
 
-TEST_CASE( "names beyond the bound are counted together", "[core]" )
+TEST_CASE( "names beyond the maximum share one count", "[core]" )
 {
     auto counts = name_counts{};
     CHECK( counts.add( "first" ) );
