--- a/src/pollenstream/ports/answer_sink.hpp
+++ b/src/pollenstream/ports/answer_sink.hpp
@@ -16,7 +16,7 @@
 {
     complete,
     not_run, ///< it was not started: a retry is safe
-    failed,  ///< it was started and has failed
+    failed,  ///< it was started and ended incomplete
     unknown, ///< it may or may not have run
 };
 
