--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -75,7 +75,7 @@
     platform::store_client store_;
     platform::registry_records records_;
     platform::target_calls target_calls_;
-    platform::memory_orders memory_orders_;
+    platform::reservation_calls reservation_calls_;
     platform::header_encoder encoder_;
     exchange::load_table load_table_;
     exchange::crash_history crashes_;
