--- a/tests/platform/adapter_test.cpp
+++ b/tests/platform/adapter_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-auto const good_settings =
+auto const valid_settings =
     std::string( "node_name=n1\n"
                  "zone=hall\n"
                  "listen_addresses.front=10.1.0.4:80\n"
@@ -48,10 +48,10 @@
 
 }
 
-TEST_CASE( "settings are read, unknown names passed over", "[platform]" )
+TEST_CASE( "settings are parsed and unknown names ignored", "[platform]" )
 {
     auto found = core::findings{};
-    auto const s = platform::read_settings( "f", good_settings, found );
+    auto const s = platform::read_settings( "f", valid_settings, found );
     CHECK( found.empty() );
     CHECK( s.callers == core::address{ "10.1.0.4", 80 } );
     CHECK( s.peers == core::address{ "10.1.0.4", 7340 } );
@@ -60,19 +60,19 @@
     CHECK( s.grace_period == 8s );
 }
 
-TEST_CASE( "all faults of a settings file are found with their lines",
+TEST_CASE( "each error of a settings file is reported with its line",
            "[platform]" )
 {
     auto found = core::findings{};
     platform::read_settings( "f",
-                             good_settings + "bounds.grace_period_s=soon\n"
-                                             "no equals sign\n"
-                                             "listen_addresses.ready=x\n",
+                             valid_settings + "bounds.grace_period_s=soon\n"
+                                              "no equals sign\n"
+                                              "listen_addresses.ready=x\n",
                              found );
     REQUIRE( found.all().size() == 3 );
     auto lines = std::vector<int>{};
-    for ( auto const& one : found.all() )
-        lines.push_back( one.place.line );
+    for ( auto const& finding : found.all() )
+        lines.push_back( finding.place.line );
     std::sort( lines.begin(), lines.end() );
     CHECK( lines == std::vector<int>{ 11, 12, 13 } );
     auto missing = core::findings{};
@@ -80,23 +80,22 @@
     CHECK( missing.all().size() >= 5 );
 }
 
-TEST_CASE( "base64 goes there and back, and spoiled text is an error",
-           "[platform]" )
+TEST_CASE( "base64 round-trips, and invalid text is an error", "[platform]" )
 {
     for ( auto const* text : { "", "a", "ab", "abc", "abcd" } )
     {
-        auto const coded = platform::encode_base64( text );
-        CHECK( coded.size() % 4 == 0 );
-        auto const back = platform::decode_base64( coded );
-        REQUIRE( back.has_value() );
-        CHECK( back.value() == text );
+        auto const encoded = platform::encode_base64( text );
+        CHECK( encoded.size() % 4 == 0 );
+        auto const decoded_text = platform::decode_base64( encoded );
+        REQUIRE( decoded_text.has_value() );
+        CHECK( decoded_text.value() == text );
     }
     CHECK( platform::encode_base64( "node-1" ) == "bm9kZS0x" );
     CHECK( platform::decode_base64( "abc" ).has_error() );
     CHECK( platform::decode_base64( "a$cd" ).has_error() );
 }
 
-TEST_CASE( "a caller's request is decoded and passes on unchanged",
+TEST_CASE( "a caller's request is decoded and its other headers are forwarded",
            "[platform][headers]" )
 {
     auto decoded =
@@ -111,13 +110,13 @@
     CHECK( r.last_event == 12 );
     REQUIRE( r.prompt );
     CHECK( r.prompt->prompt_tokens == 1460 );
-    auto to = exchange::target_directions{};
-    to.target = core::target_id( "i-1" );
-    to.time_left = 450ms;
-    to.last_event = 14;
-    to.helpers = { { { "10.0.0.1", 80 }, core::reservation_id( "t" ) },
-                   { { "10.0.0.2", 80 }, {} } };
-    auto const text = platform::header_encoder().encode( r, to );
+    auto directions = exchange::target_directions{};
+    directions.target = core::target_id( "i-1" );
+    directions.time_left = 450ms;
+    directions.last_event = 14;
+    directions.helpers = { { { "10.0.0.1", 80 }, core::reservation_id( "t" ) },
+                           { { "10.0.0.2", 80 }, {} } };
+    auto const text = platform::header_encoder().encode( r, directions );
     CHECK( text.starts_with( "POST /a/b?c=d HTTP/1.1\r\n" ) );
     CHECK( value_of( text, "Attempt-Id" ) == "id1" );
     CHECK( value_of( text, "Token-Usage" ) == "1460,80" );
@@ -129,7 +128,7 @@
     CHECK( text.ends_with( "\r\n\r\nbody" ) );
 }
 
-TEST_CASE( "a caller cannot set what only the system may set",
+TEST_CASE( "headers that only the system may set are dropped from requests",
            "[platform][headers]" )
 {
     auto decoded = platform::decode_request(
@@ -147,11 +146,12 @@
         core::instant( 1s ) );
     REQUIRE( decoded.has_value() );
     CHECK( decoded.value().key == "secret" );
-    auto to = exchange::target_directions{};
-    to.target = core::target_id( "i-1" );
-    to.time_left = 1s;
-    to.workspace = core::workspace_id( "ws" );
-    auto const text = platform::header_encoder().encode( decoded.value(), to );
+    auto directions = exchange::target_directions{};
+    directions.target = core::target_id( "i-1" );
+    directions.time_left = 1s;
+    directions.workspace = core::workspace_id( "ws" );
+    auto const text =
+        platform::header_encoder().encode( decoded.value(), directions );
     CHECK( text.find( "secret" ) == std::string::npos );
     CHECK( text.find( "other" ) == std::string::npos );
     CHECK( text.find( "again" ) == std::string::npos );
@@ -163,26 +163,25 @@
     CHECK( value_of( text, "Expect-Instance" ) == "i-1" );
 }
 
-TEST_CASE( "requests that can be read in two ways are malformed",
-           "[platform][headers]" )
+TEST_CASE( "ambiguous requests are malformed", "[platform][headers]" )
 {
-    auto const refused = []( exchange::header_list fields )
+    auto const is_malformed = []( exchange::header_list fields )
     {
         return platform::decode_request( request_with( std::move( fields ) ),
                                          core::instant( 1s ) )
             .has_error();
     };
-    CHECK( refused( { { "Host", "other" } } ) );
-    CHECK( refused( { { "attempt-id", "other" } } ) );
-    CHECK( refused( { { "Api-Key", "a" }, { "Api-Key", "b" } } ) );
-    CHECK( refused( { { "Token-Usage", "many" } } ) );
+    CHECK( is_malformed( { { "Host", "other" } } ) );
+    CHECK( is_malformed( { { "attempt-id", "other" } } ) );
+    CHECK( is_malformed( { { "Api-Key", "a" }, { "Api-Key", "b" } } ) );
+    CHECK( is_malformed( { { "Token-Usage", "many" } } ) );
     auto absolute = request_with( {} );
     absolute.target = "http://elsewhere/";
     CHECK(
         platform::decode_request( absolute, core::instant( 1s ) ).has_error() );
 }
 
-TEST_CASE( "an answer's limit is a number from zero up, the lowest of several",
+TEST_CASE( "the limit of an answer is the lowest non-negative number it states",
            "[platform][headers][limit]" )
 {
     auto const head_of = []( std::vector<std::string> const& texts )
@@ -210,7 +209,7 @@
     }
 }
 
-TEST_CASE( "headers of answers that nobody knows are named",
+TEST_CASE( "unknown headers of answers are listed by name",
            "[platform][headers]" )
 {
     auto const head = platform::decode_answer( { 200,
@@ -224,7 +223,7 @@
     CHECK( head.headers.size() == 4 );
 }
 
-TEST_CASE( "a target's answer tells what it proves", "[platform][headers]" )
+TEST_CASE( "the head of a target's answer is decoded", "[platform][headers]" )
 {
     auto const head = platform::decode_answer( { 503,
                                                  { { "Not-Executed", "1" },
@@ -237,28 +236,28 @@
     CHECK( head.failed_target == "i-9" );
     for ( auto const& h : head.headers )
         CHECK( h.name != "Connection" );
-    auto const leaves =
+    auto const leaving =
         platform::decode_answer( { 200, { { "server-leaving", "1" } } } );
-    CHECK( leaves.announces_leaving );
-    CHECK( leaves.headers.size() == 1 );
+    CHECK( leaving.announces_leaving );
+    CHECK( leaving.headers.size() == 1 );
     CHECK_FALSE( head.announces_leaving );
-    auto const pause_of = []( int status, std::string const& text )
+    auto const retry_after_of = []( int status, std::string const& text )
     {
         return platform::decode_answer(
                    { status, { { "Retry-After", text } } } )
             .requested_pause;
     };
-    CHECK( pause_of( 503, "2" ) == 2s );
-    CHECK( pause_of( 503, " 0.25 " ) == 250ms );
-    CHECK( pause_of( 429, "2" ) == 0s );
+    CHECK( retry_after_of( 503, "2" ) == 2s );
+    CHECK( retry_after_of( 503, " 0.25 " ) == 250ms );
+    CHECK( retry_after_of( 429, "2" ) == 0s );
     for ( auto const* text : { "", "-1", "soon", "nan", "2 s" } )
-        CHECK( pause_of( 503, text ) == 0s );
-    CHECK( pause_of( 503, "1e99" ) == 1h );
-    auto const moved = platform::decode_answer( { 421, {} } );
-    CHECK( moved.wrong_target );
-    CHECK( moved.proves_not_run );
-    auto const own = platform::decode_answer( { 500, {} } );
-    CHECK_FALSE( own.proves_not_run );
+        CHECK( retry_after_of( 503, text ) == 0s );
+    CHECK( retry_after_of( 503, "1e99" ) == 1h );
+    auto const misdirected = platform::decode_answer( { 421, {} } );
+    CHECK( misdirected.wrong_target );
+    CHECK( misdirected.proves_not_run );
+    auto const internal_error = platform::decode_answer( { 500, {} } );
+    CHECK_FALSE( internal_error.proves_not_run );
     auto const id = exchange::attempt_id( "a" );
     CHECK(
         platform::answers_attempt( { 200, { { "Attempt-Id", "a" } } }, id ) );
@@ -266,7 +265,7 @@
         platform::answers_attempt( { 200, { { "attempt-id", "b" } } }, id ) );
 }
 
-TEST_CASE( "the operators' configuration is decoded once", "[platform]" )
+TEST_CASE( "the operators' configuration is decoded", "[platform]" )
 {
     auto const records = platform::registry_records{};
     auto const text = std::string( R"({"version":7,"routes":[
@@ -291,7 +290,7 @@
     CHECK( c.version == core::revision( 7 ) );
     CHECK( c.routes[0].is_idempotent() );
     CHECK( c.routes[0].services.size() == 2 );
-    // An unknown kind must not be repeated.
+    // A request of an unknown kind must not be retried.
     CHECK_FALSE( c.routes[1].is_idempotent() );
     CHECK( c.find_service( core::service_id( "s1" ) )->engine->slots == 16 );
     CHECK( c.find_service( core::service_id( "s1" ) )
@@ -304,7 +303,7 @@
     CHECK( records.read_configuration( "no json" ).has_error() );
 }
 
-TEST_CASE( "an entry of a target is decoded; one that is not is an error",
+TEST_CASE( "a target's entry is decoded, and an invalid one is an error",
            "[platform]" )
 {
     auto const records = platform::registry_records{};
@@ -325,8 +324,7 @@
                .has_error() );
 }
 
-TEST_CASE( "the record of a quarantine is read as it was written",
-           "[platform][crash]" )
+TEST_CASE( "a quarantine record round-trips", "[platform][crash]" )
 {
     auto const records = platform::registry_records();
     auto const at = core::instant( 5s );
--- a/tests/platform/settings_watch_test.cpp
+++ b/tests/platform/settings_watch_test.cpp
@@ -23,9 +23,9 @@
            ratio + "\n";
 }
 
-struct watch_of_a_file
+struct settings_watch_fixture
 {
-    watch_of_a_file()
+    settings_watch_fixture()
     {
         watch.start();
     }
@@ -41,8 +41,8 @@
     held_scheduler scheduler;
     recorded_events log;
     std::optional<std::string> text{ settings_text( "0.2" ) };
-    std::vector<double> taken;
-    std::string waits;
+    std::vector<double> applied;
+    std::string needs_restart;
     pollenstream::gateway::settings_watch watch{ "local.conf",
                                                  core::instance_id( "front-1" ),
                                                  [this]
@@ -51,9 +51,9 @@
                                                  },
                                                  [this]( auto const& settings )
                                                  {
-                                                     taken.push_back(
+                                                     applied.push_back(
                                                          settings.retry_ratio );
-                                                     return waits;
+                                                     return needs_restart;
                                                  },
                                                  scheduler,
                                                  log };
@@ -61,55 +61,55 @@
 
 }
 
-TEST_CASE( "settings that changed are taken with and without a signal",
+TEST_CASE( "changed settings are applied with and without a signal",
            "[platform][settings]" )
 {
-    auto f = watch_of_a_file{};
+    auto f = settings_watch_fixture{};
     f.scheduler.run( 5s );
-    CHECK( f.taken.empty() );
+    CHECK( f.applied.empty() );
     f.text = settings_text( "0.3" );
-    SECTION( "with a signal, at once" )
+    SECTION( "with a signal, immediately" )
     {
         f.watch.reload();
-        CHECK( f.taken == std::vector<double>{ 0.3 } );
+        CHECK( f.applied == std::vector<double>{ 0.3 } );
         CHECK( f.last_log() == "reloaded: signal" );
     }
-    SECTION( "without one, within seconds" )
+    SECTION( "without a signal, at the next check of the file" )
     {
         f.scheduler.run( 1'100ms );
-        CHECK( f.taken == std::vector<double>{ 0.3 } );
+        CHECK( f.applied == std::vector<double>{ 0.3 } );
         CHECK( f.last_log() == "reloaded: file changed" );
     }
-    // Once for each change.
+    // Each change is applied only once.
     f.scheduler.run( 10s );
-    CHECK( f.taken.size() == 1 );
+    CHECK( f.applied.size() == 1 );
 }
 
-TEST_CASE( "a bad settings file keeps the old settings and says why once",
+TEST_CASE( "an invalid settings file leaves the settings and is logged once",
            "[platform][settings]" )
 {
-    auto f = watch_of_a_file{};
+    auto f = settings_watch_fixture{};
     f.text = settings_text( "many" );
     f.scheduler.run( 10s );
-    CHECK( f.taken.empty() );
+    CHECK( f.applied.empty() );
     REQUIRE( f.log.all.size() == 1 );
     CHECK( f.last_log().find( "kept_settings: local.conf:10" ) == 0 );
-    SECTION( "and so does one that cannot be read" )
+    SECTION( "a file that cannot be read has the same effect" )
     {
         f.text.reset();
         f.scheduler.run( 10s );
-        CHECK( f.taken.empty() );
+        CHECK( f.applied.empty() );
         CHECK( f.last_log() == "kept_settings: local.conf cannot be read" );
     }
     f.text = settings_text( "0.4" );
     f.scheduler.run( 1'100ms );
-    CHECK( f.taken == std::vector<double>{ 0.4 } );
+    CHECK( f.applied == std::vector<double>{ 0.4 } );
 }
 
-TEST_CASE( "what waits for the next start is said", "[platform][settings]" )
+TEST_CASE( "settings that need a restart are logged", "[platform][settings]" )
 {
-    auto f = watch_of_a_file{};
-    f.waits = "listen addresses";
+    auto f = settings_watch_fixture{};
+    f.needs_restart = "listen addresses";
     f.text = settings_text( "0.3" );
     f.watch.reload();
     CHECK( f.last_log() ==
