--- a/src/pollenstream/observation/bounded_log.hpp
+++ b/src/pollenstream/observation/bounded_log.hpp
@@ -12,10 +12,10 @@
 namespace pollenstream::observation
 {
 
-/// Bounds the lines about requests. Within the budget of a second every
-/// request is logged at once. Beyond it the lines of a request are held back
-/// until its end: a request that ends badly is logged whole, one that is
-/// served is left out whole and counted. Changes of belief are always logged.
+/// Limits how many requests are logged per second. Requests within the limit
+/// are logged immediately. The events of any further request are held back
+/// until it ends: a served request is left out and counted, any other request
+/// is logged completely. State changes are always logged.
 class bounded_log : public exchange::event_log
 {
 public:
@@ -25,7 +25,7 @@
 
     auto record( exchange::event const& what ) -> void override;
 
-    /// Requests that were left out.
+    /// Number of requests that were left out of the log.
     [[nodiscard]] auto left_out() const -> std::uint64_t
     {
         return left_out_;
@@ -37,16 +37,16 @@
         -> void;
     auto end( exchange::request_ended const& e, exchange::event const& what )
         -> void;
-    auto next_second() -> void;
+    auto advance_window() -> void;
 
-    exchange::event_log& next_;
+    exchange::event_log& next_log_;
     ports::scheduler& scheduler_;
-    std::size_t budget_;
-    core::instant second_;
-    std::size_t begun_{ 0 };
+    std::size_t max_requests_per_second_;
+    core::instant window_start_;
+    std::size_t started_in_window_{ 0 };
     std::uint64_t left_out_{ 0 };
-    std::uint64_t told_{ 0 };
-    std::unordered_map<std::string, std::vector<exchange::event>> held_;
+    std::uint64_t reported_left_out_{ 0 };
+    std::unordered_map<std::string, std::vector<exchange::event>> held_events_;
 };
 
 }
--- a/src/pollenstream/observation/event_metrics.cpp
+++ b/src/pollenstream/observation/event_metrics.cpp
@@ -11,7 +11,7 @@
 
 using text = std::string_view;
 
-/// One family of counters with two labels.
+/// Writes one family of counters with two labels.
 template <class Map>
 auto write_counters( std::ostream& out,
                      text name,
@@ -38,7 +38,7 @@
 
 }
 
-event_metrics::event_metrics( exchange::event_log& next ) : next_( next ) {}
+event_metrics::event_metrics( exchange::event_log& next ) : next_log_( next ) {}
 
 auto event_metrics::record( exchange::event const& what ) -> void
 {
@@ -48,7 +48,7 @@
             count( e );
         },
         what );
-    next_.record( what );
+    next_log_.record( what );
 }
 
 auto event_metrics::count( exchange::request_refused const& e ) -> void
@@ -58,11 +58,11 @@
 
 auto event_metrics::count( exchange::request_placed const& e ) -> void
 {
-    ++placed_;
-    parts_ += e.parts.size();
-    queued_[e.route].add( e.waited );
+    ++placements_;
+    placed_parts_ += e.parts.size();
+    queue_time_[e.route].add( e.waited );
     if ( e.placement_time > core::duration( 0 ) )
-        asked_[e.route].add( e.placement_time );
+        placement_time_[e.route].add( e.placement_time );
 }
 
 auto event_metrics::count( exchange::attempt_failed const& e ) -> void
@@ -73,7 +73,7 @@
 auto event_metrics::count( exchange::request_ended const& e ) -> void
 {
     ++ended_[{ e.route, e.outcome }];
-    total_[e.route].add( e.total );
+    request_time_[e.route].add( e.total );
     if ( e.events == 0 )
         return;
     first_event_[e.route].add( e.first_event );
@@ -82,7 +82,7 @@
 
 auto event_metrics::count( exchange::state_change const& e ) -> void
 {
-    ++beliefs_[{ e.what, e.now }];
+    ++state_changes_[{ e.what, e.now }];
 }
 
 auto event_metrics::text() const -> std::string
@@ -93,20 +93,20 @@
     write_counters( out, "pollenstream_requests_refused_total", "route",
                     "reason", refused_ );
     write_counters( out, "pollenstream_beliefs_total", "what", "now",
-                    beliefs_ );
+                    state_changes_ );
     out << "# TYPE pollenstream_attempts_failed_total counter\n";
     for ( auto const& [decision, count] : failed_attempts_ )
         out << "pollenstream_attempts_failed_total{decision=\"" << decision
             << "\"} " << count << '\n';
     out << "# TYPE pollenstream_placements_total counter\n"
-        << "pollenstream_placements_total " << placed_ << '\n'
+        << "pollenstream_placements_total " << placements_ << '\n'
         << "# TYPE pollenstream_placed_parts_total counter\n"
-        << "pollenstream_placed_parts_total " << parts_ << '\n';
+        << "pollenstream_placed_parts_total " << placed_parts_ << '\n';
     write_histograms( out, "pollenstream_first_event_seconds", first_event_ );
     write_histograms( out, "pollenstream_longest_gap_seconds", longest_gap_ );
-    write_histograms( out, "pollenstream_request_seconds", total_ );
-    write_histograms( out, "pollenstream_queue_seconds", queued_ );
-    write_histograms( out, "pollenstream_ask_seconds", asked_ );
+    write_histograms( out, "pollenstream_request_seconds", request_time_ );
+    write_histograms( out, "pollenstream_queue_seconds", queue_time_ );
+    write_histograms( out, "pollenstream_ask_seconds", placement_time_ );
     return out.str();
 }
 
--- a/src/pollenstream/observation/event_metrics.hpp
+++ b/src/pollenstream/observation/event_metrics.hpp
@@ -12,8 +12,8 @@
 namespace pollenstream::observation
 {
 
-/// Counts the events on their way to the log, so that logs and metrics never
-/// tell different stories. Used by one thread.
+/// Counts events and passes them on to the log, so that logs and metrics always
+/// agree. Not thread-safe.
 class event_metrics : public exchange::event_log
 {
 public:
@@ -21,7 +21,7 @@
 
     auto record( exchange::event const& what ) -> void override;
 
-    /// All counts and histograms as text for monitoring systems.
+    /// All counters and histograms in the Prometheus text format.
     [[nodiscard]] auto text() const -> std::string;
 
 private:
@@ -31,20 +31,22 @@
     auto count( exchange::request_ended const& e ) -> void;
     auto count( exchange::state_change const& e ) -> void;
 
-    using pair = std::pair<std::string, std::string>;
+    using label_pair = std::pair<std::string, std::string>;
 
-    exchange::event_log& next_;
-    std::map<pair, std::uint64_t> ended_;   ///< by route and outcome
-    std::map<pair, std::uint64_t> refused_; ///< by route and reason
-    std::map<pair, std::uint64_t> beliefs_; ///< by what and state
-    std::map<std::string, std::uint64_t> failed_attempts_;
-    std::map<std::string, histogram> first_event_; ///< by route
+    exchange::event_log& next_log_;
+    std::map<label_pair, std::uint64_t> ended_;   ///< by route and outcome
+    std::map<label_pair, std::uint64_t> refused_; ///< by route and reason
+    std::map<label_pair, std::uint64_t>
+        state_changes_; ///< by kind of subject and new state
+    std::map<std::string, std::uint64_t> failed_attempts_; ///< by decision
+    std::map<std::string, histogram> first_event_;         ///< by route
     std::map<std::string, histogram> longest_gap_;
-    std::map<std::string, histogram> total_;
-    std::map<std::string, histogram> queued_;
-    std::map<std::string, histogram> asked_; ///< ask to grant, by route
-    std::uint64_t placed_{ 0 };
-    std::uint64_t parts_{ 0 };
+    std::map<std::string, histogram> request_time_;
+    std::map<std::string, histogram> queue_time_;
+    std::map<std::string, histogram>
+        placement_time_; ///< request to grant, by route
+    std::uint64_t placements_{ 0 };
+    std::uint64_t placed_parts_{ 0 };
 };
 
 }
--- a/src/pollenstream/observation/histogram.cpp
+++ b/src/pollenstream/observation/histogram.cpp
@@ -5,11 +5,11 @@
 namespace pollenstream::observation
 {
 
-auto histogram::add( core::duration span ) -> void
+auto histogram::add( core::duration elapsed ) -> void
 {
-    auto const seconds = core::seconds_of( span );
+    auto const seconds = core::seconds_of( elapsed );
     auto bucket = std::size_t{ 0 };
-    while ( bucket < ends.size() && seconds > ends[bucket] )
+    while ( bucket < upper_bounds.size() && seconds > upper_bounds[bucket] )
         ++bucket;
     ++counts_[bucket];
     sum_ += seconds;
@@ -20,12 +20,12 @@
     -> std::string
 {
     auto out = std::ostringstream{};
-    auto below = std::uint64_t{ 0 };
-    for ( auto i = std::size_t{ 0 }; i < ends.size(); ++i )
+    auto cumulative = std::uint64_t{ 0 };
+    for ( auto i = std::size_t{ 0 }; i < upper_bounds.size(); ++i )
     {
-        below += counts_[i];
-        out << name << "_bucket{" << labels << "le=\"" << ends[i] << "\"} "
-            << below << '\n';
+        cumulative += counts_[i];
+        out << name << "_bucket{" << labels << "le=\"" << upper_bounds[i]
+            << "\"} " << cumulative << '\n';
     }
     out << name << "_bucket{" << labels << "le=\"+Inf\"} " << count_ << '\n'
         << name << "_sum{" << labels << "} " << sum_ << '\n'
