--- a/src/pollenstream/adapters/http/state_dump.cpp
+++ b/src/pollenstream/adapters/http/state_dump.cpp
@@ -25,7 +25,7 @@
     json["p50"] = value::number( s.p50 );
     json["p95"] = value::number( s.p95 );
     json["p99"] = value::number( s.p99 );
-    json["max"] = value::number( s.most );
+    json["max"] = value::number( s.max );
     return json;
 }
 
@@ -105,7 +105,7 @@
     json["failed"] = count( m.failed );
     json["retries"] = count( m.retries );
     json["moves"] = count( m.moves );
-    json["parks"] = count( m.parks );
+    json["parks"] = count( m.memory_waits );
     json["resumes"] = count( m.resumes );
     json["cancels"] = count( m.cancels );
     json["callers_gone"] = count( m.callers_gone );
--- a/src/pollenstream/metrics/distribution.cpp
+++ b/src/pollenstream/metrics/distribution.cpp
@@ -1,6 +1,7 @@
 #include <pollenstream/metrics/distribution.hpp>
 
-// The quantile header uses string streams without including them.
+// <sstream> comes first: the quantile header of Boost.Accumulators uses string
+// streams without including them.
 // clang-format off
 #include <sstream>
 
@@ -24,8 +25,8 @@
 {
 
 constexpr auto quantiles = std::array{ 0.5, 0.95, 0.99 };
-/// Below this many samples the estimator of quantiles is not defined.
-constexpr auto least_samples = std::uint64_t{ 8 };
+/// The quantile estimator is undefined for fewer samples.
+constexpr auto min_quantile_samples = std::uint64_t{ 8 };
 
 using accumulator_set =
     acc::accumulator_set<double,
@@ -63,11 +64,11 @@
     if ( out.count == 0 )
         return out;
     out.mean = acc::mean( set );
-    out.most = acc::max( set );
-    if ( out.count < least_samples )
+    out.max = acc::max( set );
+    if ( out.count < min_quantile_samples )
     {
         out.p50 = out.mean;
-        out.p95 = out.p99 = out.most;
+        out.p95 = out.p99 = out.max;
         return out;
     }
     out.p50 = acc::quantile( set, acc::quantile_probability = quantiles[0] );
--- a/src/pollenstream/metrics/distribution.hpp
+++ b/src/pollenstream/metrics/distribution.hpp
@@ -7,8 +7,8 @@
 namespace pollenstream::metrics
 {
 
-/// What a distribution says of itself; all but `count` in the unit of the
-/// samples.
+/// Summary statistics of a distribution. All members but `count` are in the
+/// unit of the samples.
 struct distribution_summary
 {
     std::uint64_t count{ 0 };
@@ -16,10 +16,11 @@
     double p50{ 0 };
     double p95{ 0 };
     double p99{ 0 };
-    double most{ 0 };
+    double max{ 0 };
 };
 
-/// Estimates of a distribution in constant memory, from any thread.
+/// Estimates mean, maximum and quantiles of samples in constant memory.
+/// Thread-safe.
 class distribution
 {
 public:
--- a/src/pollenstream/metrics/request_metrics.cpp
+++ b/src/pollenstream/metrics/request_metrics.cpp
@@ -6,12 +6,12 @@
 namespace
 {
 
-constexpr auto bounds =
+constexpr auto upper_bounds =
     std::array<std::int64_t, length_class_count - 1>{ 1'024, 10'240, 102'400 };
 constexpr auto names = std::array<std::string_view, length_class_count>{
     "up_to_1k", "up_to_10k", "up_to_100k", "above_100k" };
 
-auto slot_of( length_class which ) -> std::size_t
+auto index_of( length_class which ) -> std::size_t
 {
     return static_cast<std::size_t>( which );
 }
@@ -20,15 +20,16 @@
 
 auto class_of( core::token_count tokens ) -> length_class
 {
-    auto slot = std::size_t{ 0 };
-    while ( slot < bounds.size() && tokens.count() > bounds[slot] )
-        ++slot;
-    return static_cast<length_class>( slot );
+    auto index = std::size_t{ 0 };
+    while ( index < upper_bounds.size() &&
+            tokens.count() > upper_bounds[index] )
+        ++index;
+    return static_cast<length_class>( index );
 }
 
 auto name_of( length_class which ) -> std::string_view
 {
-    return names[slot_of( which )];
+    return names[index_of( which )];
 }
 
 auto named_counters::add( std::string const& name ) -> void
@@ -44,15 +45,16 @@
 }
 
 auto request_metrics::add_first_token( core::token_count prompt,
-                                       core::duration took ) -> void
+                                       core::duration elapsed ) -> void
 {
-    first_token_[slot_of( class_of( prompt ) )].add( core::seconds_of( took ) );
+    first_token_[index_of( class_of( prompt ) )].add(
+        core::seconds_of( elapsed ) );
 }
 
 auto request_metrics::first_token( length_class which ) const
     -> distribution const&
 {
-    return first_token_[slot_of( which )];
+    return first_token_[index_of( which )];
 }
 
 }
--- a/src/pollenstream/metrics/request_metrics.hpp
+++ b/src/pollenstream/metrics/request_metrics.hpp
@@ -15,7 +15,7 @@
 namespace pollenstream::metrics
 {
 
-/// Classes of prompt length that the measures are broken down by.
+/// Classes of prompt length by which metrics are broken down.
 enum class length_class
 {
     up_to_1k,
@@ -26,13 +26,14 @@
 
 inline constexpr std::size_t length_class_count = 4;
 
-/// The class of a prompt of `tokens`.
+/// The class of a prompt with `tokens` tokens.
 auto class_of( core::token_count tokens ) -> length_class;
-/// Name in dumps, such as `up_to_1k`.
+/// Name in state dumps, such as `up_to_1k`.
 auto name_of( length_class which ) -> std::string_view;
 
-/// Counts under names that are found at run time, such as refusal reasons.
-/// The number of names is bounded by the program's own reasons.
+/// Counters whose names are known only at run time, such as refusal reasons.
+/// All names come from the program itself, which bounds their number.
+/// Thread-safe.
 class named_counters
 {
 public:
@@ -44,32 +45,33 @@
     std::map<std::string, std::uint64_t> counts_;
 };
 
-/// What one instance measures of the requests that it serves.
+/// Metrics of the requests that one instance serves.
 class request_metrics
 {
 public:
-    /// Seconds from admission to the first token, by length of prompt.
-    auto add_first_token( core::token_count prompt, core::duration took )
+    /// Records the time from admission to the first token.
+    auto add_first_token( core::token_count prompt, core::duration elapsed )
         -> void;
     [[nodiscard]] auto first_token( length_class which ) const
         -> distribution const&;
 
     distribution queue_time; ///< seconds from admission to the first send
-    distribution token_gap;  ///< seconds between tokens of one answer
-    distribution prediction; ///< measured over predicted first token time
-    /// First token time of a short prompt over the time that reading it takes
-    /// at an idle engine.
+    distribution token_gap;  ///< seconds between tokens of an answer
+    distribution prediction; ///< actual / predicted time to first token
+    /// Time to first token of a short prompt, divided by the time that an
+    /// idle engine takes for its prefill and the first step.
     distribution short_slowdown;
     core::counter started;
     core::counter completed;
     core::counter failed;
     core::counter retries;
-    core::counter moves; ///< small prompts sent on beside a slow target
-    core::counter parks; ///< waits for memory at any target
+    core::counter moves; ///< small prompts also sent to a second, faster target
+    core::counter memory_waits; ///< waits until any target has enough memory
     core::counter resumes;
     core::counter cancels;
     core::counter callers_gone;
-    core::counter stray_events; ///< late, crossed or repeated engine events
+    core::counter
+        stray_events; ///< late, misdirected or duplicate engine events
     core::counter reservations_made;
     core::counter reservations_released;
     named_counters refusals; ///< by reason
--- a/src/pollenstream/sessions/session.cpp
+++ b/src/pollenstream/sessions/session.cpp
@@ -250,7 +250,7 @@
                                core::duration( 5s ) ) );
         return;
     }
-    context_.metrics.parks.add();
+    context_.metrics.memory_waits.add();
     context_.timer.at( when,
                        [self = shared_from_this()]
                        {
