--- a/apps/gateway/caller_handler.cpp
+++ b/apps/gateway/caller_handler.cpp
@@ -14,30 +14,31 @@
 class exchange_in_progress : public adapters::asio::request_in_progress
 {
 public:
-    explicit exchange_in_progress( std::shared_ptr<exchange::exchange> which )
-        : which_( std::move( which ) )
+    explicit exchange_in_progress(
+        std::shared_ptr<exchange::exchange> running_exchange )
+        : exchange_( std::move( running_exchange ) )
     {
     }
     auto on_caller_gone() -> void override
     {
-        which_->on_caller_gone();
+        exchange_->on_caller_gone();
     }
 
 private:
-    std::shared_ptr<exchange::exchange> which_;
+    std::shared_ptr<exchange::exchange> exchange_;
 };
 
 }
 
-caller_handler::caller_handler( exchange::exchange_context& shared )
-    : shared_( shared )
+caller_handler::caller_handler( exchange::exchange_context& context )
+    : context_( context )
 {
 }
 
 auto caller_handler::limits() const -> exchange::caller_limits
 {
-    return shared_.configuration ? shared_.configuration->limits
-                                 : exchange::caller_limits{};
+    return context_.configuration ? context_.configuration->limits
+                                  : exchange::caller_limits{};
 }
 
 auto caller_handler::handle( adapters::asio::raw_request request,
@@ -45,20 +46,20 @@
     -> std::shared_ptr<adapters::asio::request_in_progress>
 {
     auto decoded = platform::decode_request( std::move( request ),
-                                             shared_.scheduler.now() );
+                                             context_.scheduler.now() );
     if ( decoded.has_error() )
     {
         auto refused = exchange::request_refused{};
         refused.status = status_bad_request;
         refused.reason = decoded.error().detail;
-        shared_.log.record( refused );
+        context_.log.record( refused );
         answer->send_whole( { status_bad_request,
                               { { "Content-Type", "text/plain" } },
                               decoded.error().detail + "\n" } );
         return nullptr;
     }
     auto started = std::make_shared<exchange::exchange>(
-        shared_, std::move( decoded.value() ), std::move( answer ) );
+        context_, std::move( decoded.value() ), std::move( answer ) );
     started->start();
     return std::make_shared<exchange_in_progress>( std::move( started ) );
 }
--- a/apps/gateway/caller_handler.hpp
+++ b/apps/gateway/caller_handler.hpp
@@ -7,11 +7,11 @@
 namespace pollenstream::gateway
 {
 
-/// Makes an exchange of each request that a caller sends.
+/// Starts an exchange for each request of a caller.
 class caller_handler : public adapters::asio::request_handler
 {
 public:
-    explicit caller_handler( exchange::exchange_context& shared );
+    explicit caller_handler( exchange::exchange_context& context );
 
     [[nodiscard]] auto limits() const -> exchange::caller_limits override;
     auto handle( adapters::asio::raw_request request,
@@ -19,7 +19,7 @@
         -> std::shared_ptr<adapters::asio::request_in_progress> override;
 
 private:
-    exchange::exchange_context& shared_;
+    exchange::exchange_context& context_;
 };
 
 }
--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -18,35 +18,39 @@
 
 using namespace std::chrono_literals;
 
-/// How long callers should keep the directory's answer: short, so that they
-/// soon leave an instance that has died, and long enough to cost little.
-constexpr auto directory_time = core::duration( 1s );
-/// Some callers keep an answer three times as long.
-constexpr auto directory_patience = 3;
-/// The signal to stop may be seen, and a request read, this late.
-constexpr auto stop_lateness = core::duration( 250ms );
-/// Part of the grace period that is left unused: the process has to be gone
-/// before it is killed.
+/// Time to live of the directory's answer: short enough that callers soon leave
+/// an instance that has failed, long enough that directory requests cost
+/// little.
+constexpr auto directory_ttl = core::duration( 1s );
+/// Some callers keep an answer for three times its time to live.
+constexpr auto caller_ttl_factor = 3;
+/// Allowance for delays in receiving the stop signal and in reading a request.
+constexpr auto stop_detection_delay = core::duration( 250ms );
+/// Part of the grace period that is left unused, so that the process ends
+/// before the platform kills it.
 constexpr auto stop_margin = core::duration( 650ms );
-/// Requests a second that are logged whole whatever becomes of them; about
-/// four times an instance's part of the first deployments' peak.
-constexpr auto logged_requests = std::size_t{ 100 };
-/// For the last answers and orders of a process that ends.
-constexpr auto last_words_time = core::duration( 150ms );
+/// Requests per second that are logged regardless of their outcome: about four
+/// times the peak rate of one instance in the first deployments.
+constexpr auto max_logged_requests_per_second = std::size_t{ 100 };
+/// Time for sending the last answers and reservation calls before the process
+/// ends.
+constexpr auto final_send_time = core::duration( 150ms );
 constexpr auto tick_period = core::duration( 100ms );
-/// The same until there is a configuration: callers wait for it meanwhile.
-constexpr auto first_tick_period = core::duration( 15ms );
-/// How long this instance may know less of the store than another one before
-/// it asks that one: most changes come in datagrams within some ms.
-constexpr auto behind_time = core::duration( 80ms );
-/// Changes larger than this, packed, go over a connection when others ask for
-/// them: one datagram to each of many instances would fill a slow link.
-constexpr auto largest_told_update = std::size_t{ 2'000 };
-constexpr auto fetch_time = core::duration( 2500ms );
+/// Shorter until there is a configuration, as callers are waiting for it.
+constexpr auto startup_tick_period = core::duration( 15ms );
+/// How long another instance may know a newer state of the store before this
+/// one fetches it. Most changes arrive in datagrams within a few milliseconds.
+constexpr auto max_update_lag = core::duration( 80ms );
+/// Larger updates (compressed size) are not broadcast; other instances fetch
+/// them over a connection. Large datagrams to many instances would saturate a
+/// slow link.
+constexpr auto max_broadcast_update_bytes = std::size_t{ 2'000 };
+constexpr auto fetch_timeout = core::duration( 2500ms );
 
-/// After this time a target that has ended is out of the registry: its entry
-/// lapses after three missed heartbeats, and the news has to come here.
-auto lapse_time( platform::gateway_settings const& s ) -> core::duration
+/// Time after which a target that has ended is no longer in the registry: its
+/// entry expires after three missed heartbeats, and the update has to arrive.
+auto registry_expiry_time( platform::gateway_settings const& s )
+    -> core::duration
 {
     constexpr auto heartbeats = 5;
     return s.target_heartbeat * heartbeats;
@@ -54,8 +58,8 @@
 
 auto own_state_of( platform::gateway_settings const& s ) -> peers::own_state
 {
-    // The wall clock tells restarts apart; it may jump, but a restart within
-    // the jump is seen as the same process and only for seconds.
+    // The start time distinguishes restarts. If the wall clock jumps, a restart
+    // within the jump is taken for the same process, but only for seconds.
     auto const started = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch() );
     return { s.instance,
@@ -66,7 +70,7 @@
              s.thousandths_of_core };
 }
 
-auto seed_of( platform::gateway_settings const& s ) -> std::uint32_t
+auto random_seed( platform::gateway_settings const& s ) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(
         std::hash<std::string>{}( s.instance.str() ) );
@@ -78,9 +82,10 @@
                             platform::gateway_settings settings,
                             exchange::event_log& log )
     : io_( io ), settings_( std::move( settings ) ), scheduler_( io ),
-      bounded_log_( log, scheduler_, logged_requests ), log_( bounded_log_ ),
-      http_( io ), store_( http_, settings_.store ), target_calls_( http_ ),
-      memory_orders_( http_ ), crashes_( lapse_time( settings_ ) ),
+      bounded_log_( log, scheduler_, max_logged_requests_per_second ),
+      log_( bounded_log_ ), http_( io ), store_( http_, settings_.store ),
+      target_calls_( http_ ), reservation_client_( http_ ),
+      crashes_( registry_expiry_time( settings_ ) ),
       placement_( load_table_, settings_.data_centre ),
       retries_( { settings_.retry_ratio, settings_.retry_constant,
                   settings_.retry_window } ),
@@ -141,7 +146,7 @@
               return peers::choose_caller_addresses(
                   group_, core::to_string( settings_.callers ), is_ready() );
           },
-          std::min( directory_time, settings_.longest_directory_ttl ) ),
+          std::min( directory_ttl, settings_.longest_directory_ttl ) ),
       readiness_handler_(
           [this]
           {
@@ -165,7 +170,7 @@
         .scheduler = scheduler_,
         .targets = target_calls_,
         .encoder = encoder_,
-        .reservations = memory_orders_,
+        .reservations = reservation_client_,
         .loads = load_table_,
         .crashes = crashes_,
         .chooser = placement_,
@@ -180,7 +185,7 @@
         .last_serial = 0,
         .open = {},
         .counters = {},
-        .random = std::minstd_rand( seed_of( settings_ ) ) };
+        .random = std::minstd_rand( random_seed( settings_ ) ) };
 }
 
 auto gateway_node::parts() const -> node_parts
@@ -209,15 +214,15 @@
     };
     events.on_update = [this]( auto const& update )
     {
-        tell_store_state();
-        // An instance that has just listed all records leaves the rest to those
-        // who read the store, and has nothing to tell that these do not know.
+        update_store_state();
+        // An instance that is not to read the store stops after it has listed
+        // all records. Those that read the store already know its update.
         auto const reads_store = group_.should_read_store();
         registry_.set_reader( reads_store );
         if ( !reads_store )
             return;
         auto bytes = peers::encode_update( update );
-        if ( bytes.size() <= largest_told_update )
+        if ( bytes.size() <= max_broadcast_update_bytes )
             group_.broadcast_update( std::move( bytes ) );
     };
     events.on_targets_changed = [this]
@@ -285,13 +290,14 @@
     return !stopping_ && context_.configuration != nullptr;
 }
 
-/// True where the store has been served for so long that the entries of targets
-/// that ended before have lapsed.
+/// True if the store has been available for so long that the entries of targets
+/// that ended before have expired.
 auto gateway_node::registry_is_current() const -> bool
 {
     auto const served =
         std::max( registry_.served_for(), group_.others_served_for() );
-    return !registry_.may_be_lapsed() && served > lapse_time( settings_ );
+    return !registry_.may_be_lapsed() &&
+           served > registry_expiry_time( settings_ );
 }
 
 auto gateway_node::update_ready() -> void
@@ -299,7 +305,7 @@
     group_.set_ready( is_ready() );
 }
 
-auto gateway_node::tell_store_state() -> void
+auto gateway_node::update_store_state() -> void
 {
     group_.set_store_state( registry_.known_until(), registry_.store_age(),
                             registry_.served_for() );
@@ -307,11 +313,11 @@
 
 auto gateway_node::tick() -> void
 {
-    tell_store_state();
+    update_store_state();
     registry_.set_reader( group_.should_read_store() );
     fetch_from_peer();
     auto const period =
-        context_.configuration == nullptr ? first_tick_period : tick_period;
+        context_.configuration == nullptr ? startup_tick_period : tick_period;
     tick_call_ = scheduler_.call_after( period,
                                         [this]
                                         {
@@ -321,33 +327,32 @@
                                         } );
 }
 
-/// Takes the records of a better informed instance where the store does not
-/// serve this one.
+/// Fetches the records of an instance that knows a newer state of the store.
 auto gateway_node::fetch_from_peer() -> void
 {
     auto const now = scheduler_.now();
-    auto const* const better =
+    auto const* const better_informed =
         group_.better_informed_peer( registry_.known_until() );
-    if ( better == nullptr )
+    if ( better_informed == nullptr )
     {
-        behind_since_ = now;
+        lagging_since_ = now;
         return;
     }
-    // One that has no records at all has nothing to wait for.
-    auto const is_behind =
-        context_.configuration == nullptr || now - behind_since_ > behind_time;
-    if ( fetching_ || !is_behind )
+    // Without a configuration there is no reason to wait for datagrams.
+    auto const is_lagging = context_.configuration == nullptr ||
+                            now - lagging_since_ > max_update_lag;
+    if ( fetching_ || !is_lagging )
         return;
     fetching_ = true;
     auto call = adapters::asio::http_call{};
-    call.address = { better->ip, settings_.peers.port };
-    call.pool = "peer " + better->ip;
+    call.address = { better_informed->ip, settings_.peers.port };
+    call.pool = "peer " + better_informed->ip;
     call.text =
         std::make_shared<std::string const>( adapters::asio::write_request(
             "GET", peers::state_request_path( registry_.known_until() ),
-            { { "Host", better->ip } }, "" ) );
-    http_.fetch( std::move( call ), fetch_time,
-                 [this, from = better->id]( auto reply )
+            { { "Host", better_informed->ip } }, "" ) );
+    http_.fetch( std::move( call ), fetch_timeout,
+                 [this, from = better_informed->id]( auto reply )
                  {
                      fetching_ = false;
                      if ( reply.has_error() )
@@ -362,11 +367,11 @@
 auto gateway_node::apply( platform::gateway_settings const& next )
     -> std::string
 {
-    auto waits = std::string{};
-    auto const check = [&waits]( bool same, char const* name )
+    auto deferred = std::string{};
+    auto const check = [&deferred]( bool same, char const* name )
     {
         if ( !same )
-            waits += ( waits.empty() ? "" : ", " ) + std::string( name );
+            deferred += ( deferred.empty() ? "" : ", " ) + std::string( name );
     };
     check( next.instance == settings_.instance, "instance" );
     check( next.data_centre == settings_.data_centre, "place" );
@@ -384,11 +389,11 @@
     settings_.grace_period = next.grace_period;
     settings_.longest_directory_ttl = next.longest_directory_ttl;
     directory_handler_.set_time_to_live(
-        std::min( directory_time, next.longest_directory_ttl ) );
+        std::min( directory_ttl, next.longest_directory_ttl ) );
     settings_.seed_ips = next.seed_ips;
     for ( auto const& ip : next.seed_ips )
         group_.add_ip( ip );
-    return waits;
+    return deferred;
 }
 
 auto gateway_node::stop() -> void
@@ -397,26 +402,26 @@
         return;
     record_process( "stopping", "signal" );
     auto const now = scheduler_.now();
-    auto const callers_know_at = now + directory_time * directory_patience;
+    auto const directory_expired_at = now + directory_ttl * caller_ttl_factor;
     context_.stop =
-        exchange::planned_stop{ callers_know_at - stop_lateness,
+        exchange::planned_stop{ directory_expired_at - stop_detection_delay,
                                 now + settings_.grace_period - stop_margin };
     group_.announce_leaving();
     registration_.stop();
     callers_->begin_drain();
-    stopped_taking_at_ = callers_know_at + 500ms;
+    callers_left_at_ = directory_expired_at + 500ms;
     check_stopped();
 }
 
-/// Ends the process once callers have had time to hear of the stop and no
-/// request is open, or when its time is over.
+/// Ends the process once callers have had time to notice the stop and no
+/// request is open, or when the grace period is over.
 auto gateway_node::check_stopped() -> void
 {
     auto const now = scheduler_.now();
-    if ( now >= stopped_taking_at_ )
+    if ( now >= callers_left_at_ )
         callers_->close_idle();
     auto const is_idle = context_.open.empty() && callers_->connections() == 0;
-    if ( now >= stopped_taking_at_ && is_idle )
+    if ( now >= callers_left_at_ && is_idle )
         return end_process( "idle" );
     if ( now >= context_.stop->ends_at )
         return abandon_open();
@@ -429,14 +434,14 @@
                                         } );
 }
 
-/// Ends what is still open, so that callers hear of it and targets get their
-/// memory back, and leaves the orders a moment to go out.
+/// Abandons the open requests, so that callers are notified and reserved memory
+/// at targets is released, and leaves time to send the calls for this.
 auto gateway_node::abandon_open() -> void
 {
     auto const open = std::vector( context_.open.begin(), context_.open.end() );
-    for ( auto* const which : open )
-        which->abandon( "process_ends" );
-    stop_call_ = scheduler_.call_after( last_words_time,
+    for ( auto* const open_exchange : open )
+        open_exchange->abandon( "process_ends" );
+    stop_call_ = scheduler_.call_after( final_send_time,
                                         [this]
                                         {
                                             end_process( "out of time" );
--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -33,7 +33,8 @@
 namespace pollenstream::gateway
 {
 
-/// One instance: its listeners, what it follows, and its planned stop.
+/// One instance of the gateway: its components, its listeners and its planned
+/// stop.
 class gateway_node
 {
 public:
@@ -41,14 +42,16 @@
                   platform::gateway_settings settings,
                   exchange::event_log& log );
 
-    /// Serves metrics and the state dump at `port` from now on.
+    /// Starts to serve metrics and the state dump at `port`.
     auto serve_metrics( std::uint16_t port ) -> void;
 
     auto start() -> void;
-    /// Takes over what may change while the process runs: allowances, times,
-    /// instances to ask. Returns the names of what waits for the next start.
+    /// Applies the settings that may change at run time: the retry budget, the
+    /// grace period, the directory's time to live and the seed instances.
+    /// Returns the names of changed settings that need a restart.
     auto apply( platform::gateway_settings const& next ) -> std::string;
-    /// Begins a planned stop: no new callers, all open requests finished.
+    /// Begins a planned stop: accepts no new callers and lets open requests
+    /// finish within the grace period.
     auto stop() -> void;
 
 private:
@@ -59,7 +62,7 @@
     auto registry_is_current() const -> bool;
     auto update_ready() -> void;
     auto tick() -> void;
-    auto tell_store_state() -> void;
+    auto update_store_state() -> void;
     auto fetch_from_peer() -> void;
     auto check_stopped() -> void;
     auto abandon_open() -> void;
@@ -75,7 +78,7 @@
     platform::store_client store_;
     platform::registry_records records_;
     platform::target_calls target_calls_;
-    platform::memory_orders memory_orders_;
+    platform::memory_orders reservation_client_;
     platform::header_encoder encoder_;
     exchange::load_table load_table_;
     exchange::crash_history crashes_;
@@ -105,8 +108,8 @@
 
     bool stopping_{ false };
     bool fetching_{ false };
-    core::instant behind_since_;
-    core::instant stopped_taking_at_;
+    core::instant lagging_since_;
+    core::instant callers_left_at_;
     std::unique_ptr<ports::scheduled_call> tick_call_;
     std::unique_ptr<ports::scheduled_call> stop_call_;
 };
--- a/apps/gateway/main.cpp
+++ b/apps/gateway/main.cpp
@@ -18,22 +18,22 @@
 namespace platform = pollenstream::platform;
 
 constexpr auto usage =
-    R"(The daemon of an instance on the users' platform.
+    R"(The gateway: one instance of Pollenstream on the users' platform.
 
 Usage:
   pollenstream-gateway [--settings=FILE] [--metrics-port=N] [--check]
   pollenstream-gateway (-h | --help)
 
 Options:
-  --settings=FILE  Settings file; the platform's variable names it else.
-  --metrics-port=N Serve /metrics and /state there, at the callers' address.
-  --check          Read the settings, report findings and end.
-  -h --help        Show this.
+  --settings=FILE  Settings file; else the one that POLLENSTREAM_NODE_FILE names.
+  --metrics-port=N Serve /metrics and /state at this port of the callers' address.
+  --check          Check the settings, print findings and exit.
+  -h --help        Show this help.
 )";
 
-constexpr auto exit_bad_settings = 2;
+constexpr auto exit_invalid_settings = 2;
 
-/// The text of the file at `path`; none where it cannot be read.
+/// The text of the file at `path`, or none if it cannot be read.
 auto read_text( std::string const& path ) -> std::optional<std::string>
 {
     auto file = std::ifstream( path );
@@ -44,7 +44,7 @@
     return text.str();
 }
 
-/// The settings in `path`; findings go to `found`.
+/// Reads the settings in the file at `path` and adds findings to `found`.
 auto load( std::string const& path, pollenstream::core::findings& found )
     -> platform::gateway_settings
 {
@@ -108,7 +108,8 @@
 auto main( int argc, char** argv ) -> int
 {
     std::signal( SIGPIPE, SIG_IGN );
-    // Until the settings are watched: by default the signal ends the process.
+    // Ignored until the settings are watched: by default SIGHUP would end the
+    // process.
     std::signal( SIGHUP, SIG_IGN );
     auto args = docopt::docopt( usage, { argv + 1, argv + argc }, true );
     auto const path = args["--settings"] ? args["--settings"].asString()
@@ -118,7 +119,7 @@
     if ( !found.empty() )
     {
         std::cerr << found.report();
-        return exit_bad_settings;
+        return exit_invalid_settings;
     }
     if ( args["--check"].asBool() )
         return 0;
--- a/apps/gateway/metrics_handler.hpp
+++ b/apps/gateway/metrics_handler.hpp
@@ -9,8 +9,8 @@
 namespace pollenstream::gateway
 {
 
-/// Serves counters and histograms at `/metrics`, and a dump of what the
-/// process knows at `/state`.
+/// Serves counters and histograms at `/metrics` and a dump of the state of the
+/// instance at `/state`.
 class metrics_handler : public adapters::asio::request_handler
 {
 public:
--- a/apps/gateway/node_state.cpp
+++ b/apps/gateway/node_state.cpp
@@ -14,14 +14,15 @@
 
 using nlohmann::json;
 
-/// Requests a second that the target takes; null where it names no limit.
-auto limit_of( exchange::target_entry const& t ) -> json
+/// The limit of the target in requests per second; null if it has none.
+auto limit_or_null( exchange::target_entry const& t ) -> json
 {
     auto const limit = t.limit.per_second();
     return limit ? json( *limit ) : json();
 }
 
-/// By all instances, as far as this one knows: all of it where it places.
+/// The rate at which all instances send to the target, as known here. It is
+/// complete only on the instance that places the prompts for the target.
 auto sent_per_second( exchange::target_entry const& t, core::instant now )
     -> double
 {
@@ -45,7 +46,7 @@
               { "memory_tokens", t->load.memory_tokens },
               { "backlog_ms", t->backlog_ms( now ) },
               { "failure_share", t->health.failure_share },
-              { "limit", limit_of( *t ) },
+              { "limit", limit_or_null( *t ) },
               { "sent_per_second", sent_per_second( *t, now ) } } );
     return targets;
 }
@@ -65,22 +66,22 @@
     return list;
 }
 
-auto describe_placing( node_parts const& node ) -> json
+auto describe_placement( node_parts const& node ) -> json
 {
     auto coordinators = json::array();
-    auto here = false;
+    auto is_coordinator = false;
     for ( auto const& id : node.group.coordinators() )
     {
         coordinators.push_back( id.str() );
-        here = here || id == node.context.self;
+        is_coordinator = is_coordinator || id == node.context.self;
     }
     return { { "coordinators", std::move( coordinators ) },
-             { "here", here },
+             { "here", is_coordinator },
              { "asks_waiting", node.coordinator.waiting() } };
 }
 
-/// Of so many limited targets at most, so that the text is bounded.
-constexpr auto most_limits_written = 50;
+/// Bounds the number of targets with a limit in the text.
+constexpr auto max_limits_written = 50;
 
 auto write_limits( exchange::load_table const& loads,
                    core::instant now,
@@ -90,7 +91,7 @@
     for ( auto const& [id, t] : loads.all() )
     {
         auto const limit = t->limit.per_second();
-        if ( !limit || !t->takes_work() || ++limited > most_limits_written )
+        if ( !limit || !t->takes_work() || ++limited > max_limits_written )
             continue;
         auto const label = "{target=\"" + id.str() + "\"} ";
         out << "pollenstream_target_limit" << label << *limit << '\n'
@@ -134,7 +135,7 @@
                 { { "serves", registry.store_serves() },
                   { "known_until", registry.known_until().count() },
                   { "reads", group.should_read_store() } } },
-              { "placing", describe_placing( node ) },
+              { "placing", describe_placement( node ) },
               { "targets", describe_targets( context ) },
               { "peers", describe_peers( group, context.scheduler.now() ) },
               { "invariants", invariant_counts() } };
@@ -168,23 +169,23 @@
     {
         out << name << labels << ' ' << value << '\n';
     };
-    auto const& asked = router.counters();
+    auto const& routed = router.counters();
     count( "pollenstream_asks_total", "{to=\"others\"}",
-           asked.sent_to_others.value() );
+           routed.sent_to_others.value() );
     count( "pollenstream_asks_total", "{to=\"self\"}",
-           asked.sent_to_self.value() );
+           routed.sent_to_self.value() );
     count( "pollenstream_asks_not_answered_total", "",
-           asked.sent_to_next.value() );
+           routed.sent_to_next.value() );
     count( "pollenstream_own_choices_total", "",
-           asked.uncoordinated_choices.value() );
-    auto const& decided = coordinator.counters();
+           routed.uncoordinated_choices.value() );
+    auto const& decisions = coordinator.counters();
     count( "pollenstream_decisions_total", "{decision=\"granted\"}",
-           decided.granted.value() );
+           decisions.granted.value() );
     count( "pollenstream_decisions_total", "{decision=\"refused\"}",
-           decided.refused.value() );
+           decisions.refused.value() );
     count( "pollenstream_refused_for_limits_total", "",
-           decided.limited.value() );
-    count( "pollenstream_asks_repeated_total", "", decided.repeated.value() );
+           decisions.limited.value() );
+    count( "pollenstream_asks_repeated_total", "", decisions.repeated.value() );
     count( "pollenstream_peer_datagrams_total", "",
            group.sent().datagrams.value() );
     count( "pollenstream_peer_bytes_total", "", group.sent().bytes.value() );
--- a/apps/gateway/node_state.hpp
+++ b/apps/gateway/node_state.hpp
@@ -13,7 +13,7 @@
 namespace pollenstream::gateway
 {
 
-/// The parts of an instance that its state is told of.
+/// The components of an instance whose state is reported.
 struct node_parts
 {
     exchange::exchange_context const& context;
@@ -24,10 +24,11 @@
     platform::store_client const& store;
 };
 
-/// What an instance knows and does at the moment, as JSON for people.
+/// The present state of an instance as indented JSON for operators.
 auto describe_node( node_parts const& node ) -> std::string;
 
-/// Counts that are no events, as text for monitoring systems.
+/// Gauges and the counters that do not count log events, in the Prometheus
+/// text format.
 auto node_metrics( node_parts const& node ) -> std::string;
 
 }
--- a/apps/gateway/settings_watch.cpp
+++ b/apps/gateway/settings_watch.cpp
@@ -10,61 +10,61 @@
 
 using namespace std::chrono_literals;
 
-/// Pause between looks at the file. Operators give a change of configuration
-/// two seconds; a look reads some kilobytes.
-constexpr auto look_period = core::duration( 1s );
+/// Operators expect a configuration change to be in force within two seconds.
+/// Each poll reads only a few kilobytes.
+constexpr auto poll_period = core::duration( 1s );
 
 }
 
 settings_watch::settings_watch( std::string path,
                                 core::instance_id self,
-                                reader read,
-                                taker take,
+                                text_reader read_text,
+                                applier apply,
                                 ports::scheduler& scheduler,
                                 exchange::event_log& log )
     : path_( std::move( path ) ), self_( std::move( self ) ),
-      read_( std::move( read ) ), take_( std::move( take ) ),
+      read_text_( std::move( read_text ) ), apply_( std::move( apply ) ),
       scheduler_( scheduler ), log_( log )
 {
 }
 
 auto settings_watch::start() -> void
 {
-    seen_ = read_();
-    look();
+    last_text_ = read_text_();
+    schedule_poll();
 }
 
 auto settings_watch::reload() -> void
 {
-    read_again( "signal" );
+    read_settings_again( "signal" );
 }
 
-auto settings_watch::look() -> void
+auto settings_watch::schedule_poll() -> void
 {
-    next_look_ = scheduler_.call_after( look_period,
-                                        [this]
-                                        {
-                                            auto const done =
-                                                std::move( next_look_ );
-                                            if ( read_() != seen_ )
-                                                read_again( "file changed" );
-                                            look();
-                                        } );
+    next_poll_ =
+        scheduler_.call_after( poll_period,
+                               [this]
+                               {
+                                   auto const done = std::move( next_poll_ );
+                                   if ( read_text_() != last_text_ )
+                                       read_settings_again( "file changed" );
+                                   schedule_poll();
+                               } );
 }
 
-auto settings_watch::read_again( std::string const& because ) -> void
+auto settings_watch::read_settings_again( std::string const& because ) -> void
 {
-    seen_ = read_();
-    if ( !seen_ )
+    last_text_ = read_text_();
+    if ( !last_text_ )
         return record( "kept_settings", path_ + " cannot be read" );
     auto found = core::findings{};
-    auto const next = platform::read_settings( path_, *seen_, found );
+    auto const next = platform::read_settings( path_, *last_text_, found );
     if ( !found.empty() )
         return record( "kept_settings", found.report() );
-    auto const waits = take_( next );
-    record( "reloaded", waits.empty()
+    auto const deferred = apply_( next );
+    record( "reloaded", deferred.empty()
                             ? because
-                            : because + "; at the next start: " + waits );
+                            : because + "; at the next start: " + deferred );
 }
 
 auto settings_watch::record( std::string now, std::string because ) -> void
--- a/apps/gateway/settings_watch.hpp
+++ b/apps/gateway/settings_watch.hpp
@@ -13,43 +13,44 @@
 namespace pollenstream::gateway
 {
 
-/// Reads the settings file again when a signal says so or its text has changed.
-/// A file with faults, or one that cannot be read, leaves the settings as they
-/// are; its findings are logged once for each text.
+/// Reloads the settings file on a signal or when its text has changed. A file
+/// that is invalid or cannot be read leaves the settings unchanged; its
+/// findings are logged once per text.
 class settings_watch
 {
 public:
-    /// The file's text; none where it cannot be read.
-    using reader = std::function<std::optional<std::string>()>;
-    /// Takes new settings; returns what of them waits for the next start.
-    using taker =
+    /// Returns the text of the file, or none if it cannot be read.
+    using text_reader = std::function<std::optional<std::string>()>;
+    /// Applies new settings; returns the names of those that take effect only
+    /// after a restart.
+    using applier =
         std::function<std::string( platform::gateway_settings const& )>;
 
     settings_watch( std::string path,
                     core::instance_id self,
-                    reader read,
-                    taker take,
+                    text_reader read_text,
+                    applier apply,
                     ports::scheduler& scheduler,
                     exchange::event_log& log );
 
-    /// Looks at the file from now on; what it says now is in force already.
+    /// Starts to poll the file. Its present text is already in force.
     auto start() -> void;
-    /// The process was told to read its settings again.
+    /// Reloads the file; called when the process receives the reload signal.
     auto reload() -> void;
 
 private:
-    auto look() -> void;
-    auto read_again( std::string const& because ) -> void;
+    auto schedule_poll() -> void;
+    auto read_settings_again( std::string const& because ) -> void;
     auto record( std::string now, std::string because ) -> void;
 
     std::string path_;
     core::instance_id self_;
-    reader read_;
-    taker take_;
+    text_reader read_text_;
+    applier apply_;
     ports::scheduler& scheduler_;
     exchange::event_log& log_;
-    std::optional<std::string> seen_; ///< text that was looked at last
-    std::unique_ptr<ports::scheduled_call> next_look_;
+    std::optional<std::string> last_text_; ///< text of the last poll or reload
+    std::unique_ptr<ports::scheduled_call> next_poll_;
 };
 
 }
--- a/apps/gateway/state_handler.hpp
+++ b/apps/gateway/state_handler.hpp
@@ -7,7 +7,7 @@
 namespace pollenstream::gateway
 {
 
-/// Gives the records of this instance to other instances.
+/// Serves the registry records that this instance holds to other instances.
 class state_handler : public adapters::asio::request_handler
 {
 public:
