--- a/tests/observation/observation_test.cpp
+++ b/tests/observation/observation_test.cpp
@@ -39,7 +39,8 @@
 
 }
 
-TEST_CASE( "logs stay bounded and keep what ends badly whole", "[log]" )
+TEST_CASE( "logs are bounded and complete for requests that are not served",
+           "[log]" )
 {
     auto scheduler = held_scheduler{};
     auto written = recorded_events{};
@@ -50,20 +51,22 @@
     for ( auto i = 0; i < 1'000; ++i )
         log.record( ended( std::to_string( i ),
                            i % 100 == 99 ? "deadline" : "served" ) );
-    // Ten whole requests of the budget, and ten that ended badly.
+    // Two events each of ten requests within the limit and of ten that missed
+    // their deadline.
     CHECK( written.all.size() == 40 );
     CHECK( log.left_out() == 980 );
     scheduler.run( 2s );
     log.record( placed( "later" ) );
-    // What was left out is told.
-    auto told = false;
+    // The number of requests that were left out is logged.
+    auto left_out_logged = false;
     for ( auto const& e : written.all )
-        if ( auto const* b = std::get_if<exchange::state_change>( &e ) )
-            told = told || ( b->now == "left_out" && b->because == "980" );
-    CHECK( told );
+        if ( auto const* change = std::get_if<exchange::state_change>( &e ) )
+            left_out_logged = left_out_logged || ( change->now == "left_out" &&
+                                                   change->because == "980" );
+    CHECK( left_out_logged );
 }
 
-TEST_CASE( "changes of belief are always logged", "[log]" )
+TEST_CASE( "state changes are always logged", "[log]" )
 {
     auto scheduler = held_scheduler{};
     auto written = recorded_events{};
@@ -73,7 +76,7 @@
     CHECK( written.all.size() == 50 );
 }
 
-TEST_CASE( "metrics count what the log tells", "[metrics]" )
+TEST_CASE( "metrics count the logged events", "[metrics]" )
 {
     auto written = recorded_events{};
     auto metrics = observation::event_metrics( written );
@@ -90,7 +93,8 @@
            std::string::npos );
 }
 
-TEST_CASE( "a request's story is told in order with its cause", "[explain]" )
+TEST_CASE( "explain shows the events of a request in order and its cause",
+           "[explain]" )
 {
     auto second = std::istringstream(
         "time=2 instance=b event=ended id=x route=r outcome=target_lost "
@@ -100,30 +104,32 @@
         "time=1 instance=b event=attempt_failed id=x target=i-1 "
         "error=\"Connection reset by peer\" may_have_run=1 "
         "decision=give_up\n" );
-    auto const told = apps::tool::explain( "x", { &second, &first } );
-    REQUIRE( told.lines.size() == 2 );
-    CHECK( told.lines[0].find( "attempt_failed" ) != std::string::npos );
-    CHECK( told.cause == "ended as target_lost with status 502 after 50.0 ms "
-                         "at i-1: i-1 failed (Connection reset by peer)" );
-    auto back = std::istringstream(
+    auto const explained = apps::tool::explain( "x", { &second, &first } );
+    REQUIRE( explained.lines.size() == 2 );
+    CHECK( explained.lines[0].find( "attempt_failed" ) != std::string::npos );
+    CHECK( explained.cause ==
+           "ended as target_lost with status 502 after 50.0 ms "
+           "at i-1: i-1 failed (Connection reset by peer)" );
+    auto returning_log = std::istringstream(
         "time=1 instance=b event=attempt_failed id=x target=i-1 error=silent "
         "decision=look_elsewhere\n"
         "time=2 instance=b event=attempt_failed id=x target=i-1 "
         "error=\"it speaks again\" decision=go_back\n"
         "time=3 instance=b event=ended id=x route=r outcome=deadline "
         "status=504 target=i-1 total_ms=50.0\n" );
-    auto const returned = apps::tool::explain( "x", { &back } );
+    auto const returned = apps::tool::explain( "x", { &returning_log } );
     CHECK( returned.cause.find( "i-1 failed (silent), then back to i-1 "
                                 "(it speaks again)" ) != std::string::npos );
-    auto none = std::istringstream( "nothing here\n" );
-    CHECK( apps::tool::explain( "z", { &none } ).lines.empty() );
+    auto unrelated = std::istringstream( "nothing here\n" );
+    CHECK( apps::tool::explain( "z", { &unrelated } ).lines.empty() );
     auto const line =
         apps::tool::read_log_line( "0.5 host time=1 a=\"b c\" d=e" );
     CHECK( line.at( "a" ) == "b c" );
     CHECK( line.at( "d" ) == "e" );
 }
 
-TEST_CASE( "a gateway's state is told to people, violations first", "[status]" )
+TEST_CASE( "status prints the state of a gateway and its violations",
+           "[status]" )
 {
     auto const state = web::json::value::parse( R"({
         "instance": "front-1", "configuration": 42, "open_requests": 3,
@@ -146,7 +152,7 @@
     CHECK( text.find( "front-2" ) != std::string::npos );
 }
 
-TEST_CASE( "a gateway's state tells who places prompts", "[status]" )
+TEST_CASE( "status prints the coordinators that place prompts", "[status]" )
 {
     auto const state = web::json::value::parse( R"({
         "instance": "front-1", "configuration": 42, "open_requests": 3,
@@ -161,13 +167,13 @@
                            "asks waiting here 7\n" ) != std::string::npos );
 }
 
-TEST_CASE( "a request's story tells who chose its targets", "[explain]" )
+TEST_CASE( "explain shows which instance chose the targets", "[explain]" )
 {
     auto log = std::istringstream(
         "time=1 event=placed id=x target=i-1 decided_by=front-2 asked_ms=3.1\n"
         "time=2 event=ended id=x outcome=served status=200 total_ms=50.0 "
         "first_ms=20.0 gap_ms=5.0\n" );
-    auto const told = apps::tool::explain( "x", { &log } );
-    CHECK( told.cause.find( "; targets chosen by front-2 in 3.1 ms" ) !=
+    auto const explained = apps::tool::explain( "x", { &log } );
+    CHECK( explained.cause.find( "; targets chosen by front-2 in 3.1 ms" ) !=
            std::string::npos );
 }
