--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -82,9 +82,10 @@
                             platform::gateway_settings settings,
                             exchange::event_log& log )
     : io_( io ), settings_( std::move( settings ) ), scheduler_( io ),
-      bounded_log_( log, scheduler_, logged_requests ), log_( bounded_log_ ),
-      http_( io ), store_( http_, settings_.store ), target_calls_( http_ ),
-      reservation_calls_( http_ ), crashes_( lapse_time( settings_ ) ),
+      bounded_log_( log, scheduler_, max_logged_requests_per_second ),
+      log_( bounded_log_ ), http_( io ), store_( http_, settings_.store ),
+      target_calls_( http_ ), reservation_client_( http_ ),
+      crashes_( registry_expiry_time( settings_ ) ),
       placement_( load_table_, settings_.data_centre ),
       retries_( { settings_.retry_ratio, settings_.retry_constant,
                   settings_.retry_window } ),
@@ -169,7 +170,7 @@
         .scheduler = scheduler_,
         .targets = target_calls_,
         .encoder = encoder_,
-        .reservations = reservation_calls_,
+        .reservations = reservation_client_,
         .loads = load_table_,
         .crashes = crashes_,
         .chooser = placement_,
@@ -295,7 +296,8 @@
 {
     auto const served =
         std::max( registry_.served_for(), group_.others_served_for() );
-    return !registry_.may_have_lapsed() && served > lapse_time( settings_ );
+    return !registry_.may_have_lapsed() &&
+           served > registry_expiry_time( settings_ );
 }
 
 auto gateway_node::update_ready() -> void
--- a/apps/gateway/gateway_node.hpp
+++ b/apps/gateway/gateway_node.hpp
@@ -78,7 +78,7 @@
     platform::store_client store_;
     platform::registry_records records_;
     platform::target_calls target_calls_;
-    platform::reservation_calls reservation_calls_;
+    platform::reservation_calls reservation_client_;
     platform::header_encoder encoder_;
     exchange::load_table load_table_;
     exchange::crash_history crashes_;
