--- a/apps/gateway/gateway_node.cpp
+++ b/apps/gateway/gateway_node.cpp
@@ -327,7 +327,8 @@
                                         } );
 }
 
-/// Fetches the records of an instance that knows a newer state of the store.
+/// Fetches the records of an instance that knows a newer state of the store, as
+/// when the store is unavailable to this one.
 auto gateway_node::fetch_from_peer() -> void
 {
     auto const now = scheduler_.now();
--- a/src/pollenstream/metrics/request_metrics.hpp
+++ b/src/pollenstream/metrics/request_metrics.hpp
@@ -65,7 +65,7 @@
     core::counter completed;
     core::counter failed;
     core::counter retries;
-    core::counter moves; ///< small prompts also sent to a second, faster target
+    core::counter moves; ///< small prompts also sent past a stalled target
     core::counter memory_waits; ///< waits until any target has enough memory
     core::counter resumes;
     core::counter cancels;
