--- a/src/pollenstream/profiles/configuration.cpp
+++ b/src/pollenstream/profiles/configuration.cpp
@@ -29,7 +29,8 @@
     if ( kind == "plain" )
         s.kind = service_kind::plain;
     else if ( kind != "model" )
-        reader.fault( "kind", "'" + kind + "' is neither model nor plain" );
+        reader.report_error( "kind",
+                             "'" + kind + "' is neither model nor plain" );
     s.model = core::model_id( reader.text( "model", name ) );
     s.checks_fencing = reader.flag( "checks_fencing", false );
     s.targets_per_instance =
@@ -46,15 +47,15 @@
     auto const order = reader.text( "priority", "normal" );
     auto const parsed = parse_priority( order );
     if ( !parsed )
-        reader.fault( "priority",
-                      "'" + order + "' is not urgent, normal or bulk" );
+        reader.report_error( "priority",
+                             "'" + order + "' is not urgent, normal or bulk" );
     p.order = parsed.value_or( priority::normal );
     p.first_token_goal = reader.milliseconds( "first_token_ms", 0ms );
     p.time_base = reader.milliseconds( "time_base_ms", default_time_base );
     p.time_per_1k_tokens =
         reader.milliseconds( "time_per_1k_tokens_ms", default_time_per_1k );
     if ( p.time_base <= 0ms )
-        reader.fault( "time_base_ms", "must be above 0" );
+        reader.report_error( "time_base_ms", "must be above 0" );
     p.retries = reader.number( "retries", 1, 0, most_retries );
     p.idempotent = reader.flag( "idempotent", true );
     p.max_output = core::token_count(
@@ -174,7 +175,7 @@
         auto reader = section_reader( text.file, section, found );
         if ( !kind->read( reader, section.name, into ) )
             found.add( place, "'" + section.name + "' stands twice" );
-        reader.finish();
+        reader.report_unexpected_keys();
     }
 }
 
--- a/src/pollenstream/profiles/section_reader.cpp
+++ b/src/pollenstream/profiles/section_reader.cpp
@@ -17,8 +17,9 @@
 {
     auto value = std::int64_t{ 0 };
     auto const* const end = text.data() + text.size();
-    auto const [stopped, status] = std::from_chars( text.data(), end, value );
-    if ( status != std::errc{} || stopped != end )
+    auto const [parsed_end, status] =
+        std::from_chars( text.data(), end, value );
+    if ( status != std::errc{} || parsed_end != end )
         return std::nullopt;
     return value;
 }
@@ -44,13 +45,13 @@
     auto const* const entry = find( key );
     if ( entry && !entry->value.empty() )
         return entry->value;
-    fault( key, "is required" );
+    report_error( key, "is required" );
     return {};
 }
 
 auto section_reader::words( std::string_view key ) -> std::vector<std::string>
 {
-    auto found = std::vector<std::string>{};
+    auto result = std::vector<std::string>{};
     auto word = std::string{};
     for ( auto const c : text( key, {} ) + " " )
     {
@@ -58,24 +59,25 @@
         if ( !separates )
             word += c;
         else if ( !word.empty() )
-            found.push_back( std::exchange( word, {} ) );
+            result.push_back( std::exchange( word, {} ) );
     }
-    return found;
+    return result;
 }
 
 auto section_reader::number( std::string_view key,
                              std::int64_t fallback,
-                             std::int64_t least,
-                             std::int64_t most ) -> std::int64_t
+                             std::int64_t min,
+                             std::int64_t max ) -> std::int64_t
 {
     auto const* const entry = find( key );
     if ( !entry )
         return fallback;
     auto const value = parse_number( entry->value );
-    if ( value && *value >= least && *value <= most )
+    if ( value && *value >= min && *value <= max )
         return *value;
-    fault( key, "'" + entry->value + "' is not a whole number from " +
-                    std::to_string( least ) + " to " + std::to_string( most ) );
+    report_error( key, "'" + entry->value + "' is not a whole number from " +
+                           std::to_string( min ) + " to " +
+                           std::to_string( max ) );
     return fallback;
 }
 
@@ -96,7 +98,7 @@
         return true;
     if ( entry->value == "no" )
         return false;
-    fault( key, "'" + entry->value + "' is neither yes nor no" );
+    report_error( key, "'" + entry->value + "' is neither yes nor no" );
     return fallback;
 }
 
@@ -108,35 +110,36 @@
     auto const parsed = core::parse_address( value );
     if ( parsed )
         return parsed.value();
-    fault( key, parsed.error().detail );
+    report_error( key, parsed.error().detail );
     return {};
 }
 
-auto section_reader::fault( std::string_view key, std::string message ) -> void
+auto section_reader::report_error( std::string_view key, std::string message )
+    -> void
 {
-    found_.add( place_of( key ), std::move( message ) );
+    found_.add( location_of( key ), std::move( message ) );
 }
 
-auto section_reader::finish() -> void
+auto section_reader::report_unexpected_keys() -> void
 {
-    auto seen = std::set<std::string>{};
+    auto seen_keys = std::set<std::string>{};
     for ( auto const& entry : section_.entries )
     {
-        auto const known = std::find( known_.begin(), known_.end(),
-                                      entry.key ) != known_.end();
-        auto const first = seen.insert( entry.key ).second;
-        auto const place = core::text_place{ file_, entry.line,
-                                             section_.kind + "." + entry.key };
-        if ( !known )
-            found_.add( place, "is not a known key" );
-        else if ( !first )
-            found_.add( place, "stands twice" );
+        auto const is_known = std::find( known_keys_.begin(), known_keys_.end(),
+                                         entry.key ) != known_keys_.end();
+        auto const is_first = seen_keys.insert( entry.key ).second;
+        auto const location = core::text_place{
+            file_, entry.line, section_.kind + "." + entry.key };
+        if ( !is_known )
+            found_.add( location, "is not a known key" );
+        else if ( !is_first )
+            found_.add( location, "stands twice" );
     }
 }
 
 auto section_reader::find( std::string_view key ) -> document_entry const*
 {
-    known_.emplace_back( key );
+    known_keys_.emplace_back( key );
     for ( auto const& entry : section_.entries )
     {
         if ( entry.key == key )
@@ -145,7 +148,8 @@
     return nullptr;
 }
 
-auto section_reader::place_of( std::string_view key ) const -> core::text_place
+auto section_reader::location_of( std::string_view key ) const
+    -> core::text_place
 {
     auto line = section_.line;
     for ( auto const& entry : section_.entries )
--- a/src/pollenstream/profiles/section_reader.hpp
+++ b/src/pollenstream/profiles/section_reader.hpp
@@ -16,9 +16,10 @@
 namespace pollenstream::profiles
 {
 
-/// Reads the entries of one section as typed values. Each fault becomes a
-/// finding with its place and the default is used, so that one pass reports
-/// everything.
+/// Reads the entries of one section as typed values. An invalid value is added
+/// to the findings with its location and replaced by the default, so that a
+/// single run reports all errors. Keeps references to the arguments of the
+/// constructor.
 class section_reader
 {
 public:
@@ -29,36 +30,37 @@
     /// Text of `key`, or `fallback` where it is absent.
     auto text( std::string_view key, std::string const& fallback )
         -> std::string;
-    /// Text of `key`; its absence is a finding.
+    /// Text of `key`; a missing or empty value is a finding.
     auto required_text( std::string_view key ) -> std::string;
-    /// Words of `key`, separated by blanks or commas.
+    /// Words of `key`, separated by blanks, tabs or commas.
     auto words( std::string_view key ) -> std::vector<std::string>;
-    /// Integer from `least` to `most`.
+    /// Integer from `min` to `max`.
     auto number( std::string_view key,
                  std::int64_t fallback,
-                 std::int64_t least,
-                 std::int64_t most ) -> std::int64_t;
+                 std::int64_t min,
+                 std::int64_t max ) -> std::int64_t;
     /// Integer number of milliseconds from 0 to a week.
     auto milliseconds( std::string_view key, core::duration fallback )
         -> core::duration;
-    /// `yes` or `no`.
+    /// True for `yes`, false for `no`.
     auto flag( std::string_view key, bool fallback ) -> bool;
-    /// `IP:PORT`; its absence is a finding.
+    /// Address written as `IP:PORT`; a missing value is a finding.
     auto required_address( std::string_view key ) -> core::address;
 
-    /// Reports a fault of `key`.
-    auto fault( std::string_view key, std::string message ) -> void;
-    /// Reports keys that nobody has read, and keys that stand twice.
-    auto finish() -> void;
+    /// Adds a finding about `key`.
+    auto report_error( std::string_view key, std::string message ) -> void;
+    /// Adds a finding for each key that was not read and for each duplicate
+    /// key. Call it after all known keys have been read.
+    auto report_unexpected_keys() -> void;
 
 private:
     auto find( std::string_view key ) -> document_entry const*;
-    auto place_of( std::string_view key ) const -> core::text_place;
+    auto location_of( std::string_view key ) const -> core::text_place;
 
     std::string const& file_;
     document_section const& section_;
     core::findings& found_;
-    std::vector<std::string> known_;
+    std::vector<std::string> known_keys_;
 };
 
 }
--- a/src/pollenstream/settings/daemon_settings.cpp
+++ b/src/pollenstream/settings/daemon_settings.cpp
@@ -27,7 +27,7 @@
 {
     into.id = core::instance_id( reader.required_text( "id" ) );
     if ( into.id.str().find_first_of( ":/ " ) != std::string::npos )
-        reader.fault( "id", "must not contain ':', '/' or blanks" );
+        reader.report_error( "id", "must not contain ':', '/' or blanks" );
     into.data_centre = core::data_centre_id( reader.required_text( "place" ) );
     into.callers = reader.required_address( "callers" );
     into.peers = reader.required_address( "peers" );
@@ -44,7 +44,7 @@
 {
     into.token = reader.required_text( "token" );
     if ( !into.token.empty() && into.token.size() < shortest_token )
-        reader.fault( "token", "needs at least 16 characters" );
+        reader.report_error( "token", "needs at least 16 characters" );
 }
 
 auto read_limits( section_reader& reader, daemon_settings& into ) -> void
@@ -122,7 +122,7 @@
         auto reader =
             section_reader( text.file, section ? *section : absent, found );
         each.read( reader, read );
-        reader.finish();
+        reader.report_unexpected_keys();
     }
     return read;
 }
