--- a/src/pollenstream/profiles/configuration.cpp
+++ b/src/pollenstream/profiles/configuration.cpp
@@ -13,12 +13,12 @@
 
 constexpr auto default_time_base = core::duration( 30s );
 constexpr auto default_time_per_1k = core::duration( 200ms );
-constexpr auto most_retries = 10;
-constexpr auto default_output = 256;
-constexpr auto most_output = 1'000'000;
-constexpr auto most_share = 10'000;
-constexpr auto most_rate = 1'000'000'000;
-constexpr auto most_targets_per_instance = 10'000;
+constexpr auto max_retries = 10;
+constexpr auto default_output_tokens = 256;
+constexpr auto max_output_tokens = 1'000'000;
+constexpr auto max_share = 10'000;
+constexpr auto max_rate = 1'000'000'000;
+constexpr auto max_targets_per_instance = 10'000;
 constexpr auto default_targets_per_instance = 24;
 
 auto read_service( section_reader& reader, std::string const& name ) -> service
@@ -35,7 +35,7 @@
     s.checks_fencing = reader.flag( "checks_fencing", false );
     s.targets_per_instance =
         reader.number( "targets_per_instance", default_targets_per_instance, 1,
-                       most_targets_per_instance );
+                       max_targets_per_instance );
     return s;
 }
 
@@ -44,26 +44,27 @@
     auto p = profile{};
     p.id = core::profile_id( name );
     p.service = core::service_id( reader.required_text( "service" ) );
-    auto const order = reader.text( "priority", "normal" );
-    auto const parsed = parse_priority( order );
-    if ( !parsed )
+    auto const priority_name = reader.text( "priority", "normal" );
+    auto const parsed_priority = parse_priority( priority_name );
+    if ( !parsed_priority )
         reader.report_error( "priority",
-                             "'" + order + "' is not urgent, normal or bulk" );
-    p.order = parsed.value_or( priority::normal );
+                             "'" + priority_name +
+                                 "' is not urgent, normal or bulk" );
+    p.order = parsed_priority.value_or( priority::normal );
     p.first_token_goal = reader.milliseconds( "first_token_ms", 0ms );
     p.time_base = reader.milliseconds( "time_base_ms", default_time_base );
     p.time_per_1k_tokens =
         reader.milliseconds( "time_per_1k_tokens_ms", default_time_per_1k );
     if ( p.time_base <= 0ms )
         reader.report_error( "time_base_ms", "must be above 0" );
-    p.retries = reader.number( "retries", 1, 0, most_retries );
+    p.retries = reader.number( "retries", 1, 0, max_retries );
     p.idempotent = reader.flag( "idempotent", true );
-    p.max_output = core::token_count(
-        reader.number( "max_output_tokens", default_output, 1, most_output ) );
+    p.max_output = core::token_count( reader.number(
+        "max_output_tokens", default_output_tokens, 1, max_output_tokens ) );
     p.workspace_requests_per_second =
-        reader.number( "workspace_requests_per_second", 0, 0, most_rate );
-    for ( auto const& place : reader.words( "places" ) )
-        p.data_centres.emplace_back( place );
+        reader.number( "workspace_requests_per_second", 0, 0, max_rate );
+    for ( auto const& data_centre : reader.words( "places" ) )
+        p.data_centres.emplace_back( data_centre );
     return p;
 }
 
@@ -72,15 +73,15 @@
 {
     auto w = workspace{};
     w.id = core::workspace_id( name );
-    w.share = reader.number( "share", 1, 1, most_share );
+    w.share = reader.number( "share", 1, 1, max_share );
     w.requests_per_second =
-        reader.number( "requests_per_second", 0, 0, most_rate );
-    w.tokens_per_second = reader.number( "tokens_per_second", 0, 0, most_rate );
+        reader.number( "requests_per_second", 0, 0, max_rate );
+    w.tokens_per_second = reader.number( "tokens_per_second", 0, 0, max_rate );
     return w;
 }
 
-/// Reads one section into one of the configuration's maps; false where the
-/// name stood there before.
+/// Reads one section into the matching map of the configuration. Returns false
+/// if the map already has an entry of that name, which is then kept.
 using section_handler = auto( * )( section_reader&,
                                    std::string const& name,
                                    configuration& into ) -> bool;
@@ -91,7 +92,7 @@
     section_handler read;
 };
 
-/// Registry of the section kinds of a configuration.
+/// The section kinds of a configuration.
 constexpr auto section_kinds = std::array{
     section_kind{ "service",
                   []( section_reader& r,
@@ -119,7 +120,7 @@
                   } },
 };
 
-auto find_kind( std::string_view kind ) -> section_kind const*
+auto find_section_kind( std::string_view kind ) -> section_kind const*
 {
     for ( auto const& each : section_kinds )
     {
@@ -134,64 +135,66 @@
 auto configuration::find_profile( core::profile_id const& id ) const
     -> profile const*
 {
-    auto const at = profiles.find( id );
-    return at == profiles.end() ? nullptr : &at->second;
+    auto const it = profiles.find( id );
+    return it == profiles.end() ? nullptr : &it->second;
 }
 
 auto configuration::find_service( core::service_id const& id ) const
     -> service const*
 {
-    auto const at = services.find( id );
-    return at == services.end() ? nullptr : &at->second;
+    auto const it = services.find( id );
+    return it == services.end() ? nullptr : &it->second;
 }
 
 auto configuration::workspace_or_default( core::workspace_id const& id ) const
     -> workspace
 {
-    auto const at = workspaces.find( id );
-    if ( at != workspaces.end() )
-        return at->second;
+    auto const it = workspaces.find( id );
+    if ( it != workspaces.end() )
+        return it->second;
     auto w = workspace{};
     w.id = id;
     return w;
 }
 
-auto read_configuration( document const& text,
+auto read_configuration( document const& input,
                          configuration& into,
                          core::findings& found ) -> void
 {
-    for ( auto const& section : text.sections )
+    for ( auto const& section : input.sections )
     {
-        auto const place =
-            core::text_place{ text.file, section.line, section.kind };
-        auto const* const kind = find_kind( section.kind );
+        auto const location =
+            core::text_place{ input.file, section.line, section.kind };
+        auto const* const kind = find_section_kind( section.kind );
         if ( !kind )
         {
-            found.add( place, "is not service, profile or workspace" );
+            found.add( location, "is not service, profile or workspace" );
             continue;
         }
         if ( section.name.empty() )
-            found.add( place, "needs a name: [" + section.kind + " NAME]" );
-        auto reader = section_reader( text.file, section, found );
+            found.add( location, "needs a name: [" + section.kind + " NAME]" );
+        auto reader = section_reader( input.file, section, found );
         if ( !kind->read( reader, section.name, into ) )
-            found.add( place, "'" + section.name + "' stands twice" );
+            found.add( location, "'" + section.name + "' stands twice" );
         reader.report_unexpected_keys();
     }
 }
 
-auto check_references( configuration const& whole,
+auto check_references( configuration const& config,
                        std::string const& file,
                        core::findings& found ) -> void
 {
-    for ( auto const& [id, p] : whole.profiles )
+    for ( auto const& [id, p] : config.profiles )
     {
-        auto const place = core::text_place{ file, 0, "profile." + id.str() };
-        auto const* const target = whole.find_service( p.service );
-        if ( !target )
-            found.add( place,
+        auto const location =
+            core::text_place{ file, 0, "profile." + id.str() };
+        auto const* const used_service = config.find_service( p.service );
+        if ( !used_service )
+            found.add( location,
                        "its service '" + p.service.str() + "' has no section" );
-        if ( target && target->kind == service_kind::model && !p.idempotent )
-            found.add( place, "a model's answers are idempotent" );
+        if ( used_service && used_service->kind == service_kind::model &&
+             !p.idempotent )
+            found.add( location, "a model's answers are idempotent" );
     }
 }
 
--- a/src/pollenstream/profiles/configuration.hpp
+++ b/src/pollenstream/profiles/configuration.hpp
@@ -11,7 +11,7 @@
 namespace pollenstream::profiles
 {
 
-/// Everything that operators configure for the fleet, at one revision.
+/// The operators' configuration of the fleet at one revision.
 struct configuration
 {
     core::revision revision;
@@ -19,26 +19,27 @@
     std::unordered_map<core::service_id, service> services;
     std::unordered_map<core::workspace_id, workspace> workspaces;
 
-    /// The profile, or null.
+    /// The profile, or null if there is none.
     [[nodiscard]] auto find_profile( core::profile_id const& id ) const
         -> profile const*;
-    /// The service, or null.
+    /// The service, or null if there is none.
     [[nodiscard]] auto find_service( core::service_id const& id ) const
         -> service const*;
-    /// The workspace's own limits, or the defaults.
+    /// The configured limits of the workspace, or the defaults.
     [[nodiscard]] auto
     workspace_or_default( core::workspace_id const& id ) const -> workspace;
 };
 
-/// Reads sections `[service N]`, `[profile N]` and `[workspace N]` into
-/// `into`. Faults are added to `found`; what has none is read all the same.
-auto read_configuration( document const& text,
+/// Reads the sections `[service NAME]`, `[profile NAME]` and `[workspace NAME]`
+/// into `into`. Errors are added to `found`; everything that is valid is read
+/// even if other parts are not.
+auto read_configuration( document const& input,
                          configuration& into,
                          core::findings& found ) -> void;
 
-/// Checks what spans documents: that each profile's service exists, that only
-/// idempotent profiles are retried.
-auto check_references( configuration const& whole,
+/// Checks references that may cross documents: the service of each profile has
+/// to exist, and a profile of a model service has to be idempotent.
+auto check_references( configuration const& config,
                        std::string const& file,
                        core::findings& found ) -> void;
 
