--- a/bench/routing_run.cpp
+++ b/bench/routing_run.cpp
@@ -227,7 +227,7 @@
         auto p = profiles::profile{};
         p.id = core::profile_id( kind.name );
         p.service = core::service_id( "model" );
-        p.order = kind.order;
+        p.request_priority = kind.order;
         p.time_base = kind.time_base;
         p.time_per_1k_tokens = kind.time_per_1k;
         p.retries = 3;
--- a/soak/schedule_run.cpp
+++ b/soak/schedule_run.cpp
@@ -408,8 +408,9 @@
             static_cast<std::size_t>( step.tokens * bytes_per_token ), 'x' );
         auto profile = profiles::profile{};
         profile.service = core::service_id( "model" );
-        profile.order = step.tokens > 4'000 ? profiles::priority::bulk
-                                            : profiles::priority::urgent;
+        profile.request_priority = step.tokens > 4'000
+                                       ? profiles::priority::bulk
+                                       : profiles::priority::urgent;
         profile.time_base = 30s;
         profile.time_per_1k_tokens = 500ms;
         profile.retries = 3;
--- a/src/pollenstream/profiles/configuration.cpp
+++ b/src/pollenstream/profiles/configuration.cpp
@@ -50,7 +50,7 @@
         reader.report_error( "priority",
                              "'" + priority_name +
                                  "' is not urgent, normal or bulk" );
-    p.order = parsed_priority.value_or( priority::normal );
+    p.request_priority = parsed_priority.value_or( priority::normal );
     p.first_token_goal = reader.milliseconds( "first_token_ms", 0ms );
     p.time_base = reader.milliseconds( "time_base_ms", default_time_base );
     p.time_per_1k_tokens =
--- a/src/pollenstream/profiles/document.hpp
+++ b/src/pollenstream/profiles/document.hpp
@@ -7,14 +7,14 @@
 namespace pollenstream::profiles
 {
 
-/// An operators' document as it was written.
+/// A configuration document of the operators, not yet parsed.
 struct document_text
 {
     std::string name;
     std::string text;
 };
 
-/// `key = value` with the line on which it stands.
+/// One `key = value` and its line number.
 struct document_entry
 {
     std::string key;
@@ -31,10 +31,10 @@
     std::vector<document_entry> entries;
 };
 
-/// An INI text, read but not yet checked for meaning.
+/// A parsed INI text; its sections, keys and values are not yet validated.
 struct document
 {
-    std::string file; ///< the name to report findings under
+    std::string file; ///< file name that findings report
     std::vector<document_section> sections;
 };
 
--- a/src/pollenstream/profiles/priority.hpp
+++ b/src/pollenstream/profiles/priority.hpp
@@ -8,26 +8,26 @@
 namespace pollenstream::profiles
 {
 
-/// The order in which an engine reads prompts; lower values go first.
+/// Priority with which an engine prefills prompts; lower values go first.
 enum class priority
 {
-    urgent, ///< a person waits
+    urgent, ///< a person waits for the answer
     normal,
-    bulk, ///< hours may pass
+    bulk, ///< the answer may take hours
 };
 
 inline constexpr std::size_t priority_count = 3;
 
-/// Index of `p` in arrays of `priority_count`.
+/// Index of `p` in an array with `priority_count` elements.
 constexpr auto index_of( priority p ) noexcept -> std::size_t
 {
     return static_cast<std::size_t>( p );
 }
 
-/// The name in a profile: `urgent`, `normal` or `bulk`.
+/// The name used in profiles: `urgent`, `normal` or `bulk`.
 auto name_of( priority p ) -> std::string_view;
 
-/// Reads the name in a profile.
+/// The priority of that name, or nothing if the name is unknown.
 auto parse_priority( std::string_view name ) -> std::optional<priority>;
 
 }
--- a/src/pollenstream/sessions/session.cpp
+++ b/src/pollenstream/sessions/session.cpp
@@ -75,7 +75,7 @@
 auto session::make_shape() const -> routing::request_shape
 {
     auto request_shape = routing::request_shape{};
-    request_shape.priority = profile_.order;
+    request_shape.priority = profile_.request_priority;
     request_shape.prompt_tokens = prompt_tokens_.count() + answer_.position();
     request_shape.output_tokens = max_output_.count() - answer_.position();
     request_shape.prefixes = prefixes_;
--- a/src/pollenstream/sessions/session_attempts.cpp
+++ b/src/pollenstream/sessions/session_attempts.cpp
@@ -116,7 +116,7 @@
     engine_request.request = id_;
     engine_request.attempt = target_attempt.number;
     engine_request.owner = context_.self;
-    engine_request.priority = profile_.order;
+    engine_request.priority = profile_.request_priority;
     engine_request.prompt = request_.prompt;
     engine_request.prompt_tokens = prompt_tokens_;
     engine_request.prefixes = prefixes_;
@@ -138,7 +138,7 @@
     if ( attempts_ == 1 )
         context_.metrics.queue_time.add( core::seconds_of( now - admitted_ ) );
     auto work = routing::dispatched_work{};
-    work.priority = profile_.order;
+    work.priority = profile_.request_priority;
     work.prompt_tokens = std::max( std::int64_t{ 0 },
                                    prompt_tokens_.count() + answer_.position() -
                                        choice.cached_tokens );
