--- a/src/pollenstream/settings/daemon_settings.cpp
+++ b/src/pollenstream/settings/daemon_settings.cpp
@@ -14,14 +14,14 @@
 using namespace std::chrono_literals;
 using profiles::section_reader;
 
-constexpr auto default_body = std::int64_t{ 16 } * 1024 * 1024;
-constexpr auto most_body = std::int64_t{ 256 } * 1024 * 1024;
+constexpr auto default_body_bytes = std::int64_t{ 16 } * 1024 * 1024;
+constexpr auto max_body_bytes = std::int64_t{ 256 } * 1024 * 1024;
 constexpr auto default_threads = 6;
-constexpr auto most_threads = 256;
-constexpr auto least_threads = 2;
-constexpr auto default_polls = 16;
-constexpr auto most_polls = 1'000;
-constexpr auto shortest_token = std::size_t{ 16 };
+constexpr auto max_threads = 256;
+constexpr auto min_threads = 2;
+constexpr auto default_polls_per_second = 16;
+constexpr auto max_polls_per_second = 1'000;
+constexpr auto min_token_length = std::size_t{ 16 };
 
 auto read_instance( section_reader& reader, daemon_settings& into ) -> void
 {
@@ -43,18 +43,19 @@
 auto read_operators( section_reader& reader, daemon_settings& into ) -> void
 {
     into.token = reader.required_text( "token" );
-    if ( !into.token.empty() && into.token.size() < shortest_token )
+    if ( !into.token.empty() && into.token.size() < min_token_length )
         reader.report_error( "token", "needs at least 16 characters" );
 }
 
 auto read_limits( section_reader& reader, daemon_settings& into ) -> void
 {
-    into.largest_body = static_cast<std::size_t>(
-        reader.number( "largest_body_bytes", default_body, 1024, most_body ) );
-    into.threads = static_cast<int>( reader.number(
-        "threads", default_threads, least_threads, most_threads ) );
+    into.largest_body = static_cast<std::size_t>( reader.number(
+        "largest_body_bytes", default_body_bytes, 1024, max_body_bytes ) );
+    into.threads = static_cast<int>(
+        reader.number( "threads", default_threads, min_threads, max_threads ) );
     into.load_polls_per_second =
-        reader.number( "load_polls_per_second", default_polls, 1, most_polls );
+        reader.number( "load_polls_per_second", default_polls_per_second, 1,
+                       max_polls_per_second );
     into.entry_keep = reader.milliseconds( "entry_keep_ms", 10s );
     into.drain_limit = reader.milliseconds( "drain_limit_ms", 10min );
 }
@@ -66,7 +67,7 @@
     bool is_required;
 };
 
-/// Registry of the sections of the daemon's settings.
+/// The section kinds of the daemon's settings.
 constexpr auto section_kinds = std::array{
     section_kind{ "instance", read_instance, true },
     section_kind{ "platform", read_platform, true },
@@ -74,10 +75,10 @@
     section_kind{ "limits", read_limits, false },
 };
 
-auto find_section( profiles::document const& text, std::string_view kind )
+auto find_section( profiles::document const& input, std::string_view kind )
     -> profiles::document_section const*
 {
-    for ( auto const& section : text.sections )
+    for ( auto const& section : input.sections )
     {
         if ( section.kind == kind )
             return &section;
@@ -85,46 +86,47 @@
     return nullptr;
 }
 
-auto check_names( profiles::document const& text, core::findings& found )
-    -> void
+auto check_section_names( profiles::document const& input,
+                          core::findings& found ) -> void
 {
-    auto seen = std::set<std::string>{};
-    for ( auto const& section : text.sections )
+    auto seen_kinds = std::set<std::string>{};
+    for ( auto const& section : input.sections )
     {
         auto is_known = false;
         for ( auto const& each : section_kinds )
             is_known = is_known || each.kind == section.kind;
-        auto const place =
-            core::text_place{ text.file, section.line, section.kind };
+        auto const location =
+            core::text_place{ input.file, section.line, section.kind };
         if ( !is_known )
-            found.add( place, "is not a section of these settings" );
-        else if ( !seen.insert( section.kind ).second )
-            found.add( place, "stands twice" );
+            found.add( location, "is not a section of these settings" );
+        else if ( !seen_kinds.insert( section.kind ).second )
+            found.add( location, "stands twice" );
     }
 }
 
 }
 
-auto read_daemon_settings( profiles::document const& text,
+auto read_daemon_settings( profiles::document const& input,
                            core::findings& found ) -> daemon_settings
 {
-    auto read = daemon_settings{};
-    check_names( text, found );
+    auto result = daemon_settings{};
+    check_section_names( input, found );
     for ( auto const& each : section_kinds )
     {
         auto const kind = std::string( each.kind );
-        auto const* section = find_section( text, kind );
-        auto const absent = profiles::document_section{ kind, {}, 0, {} };
+        auto const* section = find_section( input, kind );
+        auto const empty_section =
+            profiles::document_section{ kind, {}, 0, {} };
         if ( !section && each.is_required )
-            found.add( { text.file, 0, kind }, "the section is required" );
+            found.add( { input.file, 0, kind }, "the section is required" );
         if ( !section && each.is_required )
             continue;
-        auto reader =
-            section_reader( text.file, section ? *section : absent, found );
-        each.read( reader, read );
+        auto reader = section_reader(
+            input.file, section ? *section : empty_section, found );
+        each.read( reader, result );
         reader.report_unexpected_keys();
     }
-    return read;
+    return result;
 }
 
 }
