--- a/tests/settings/daemon_settings_test.cpp
+++ b/tests/settings/daemon_settings_test.cpp
@@ -9,11 +9,12 @@
 namespace
 {
 
-constexpr auto good = "[instance]\nid = entry-1\nplace = graz-a\n"
-                      "callers = 127.0.0.1:1\npeers = 127.0.0.1:2\n"
-                      "operators = [::1]:3\n"
-                      "[platform]\nstore = 127.0.0.1:4\nlist = 127.0.0.1:5\n"
-                      "[operators]\ntoken = 0123456789abcdef\n";
+constexpr auto valid_settings =
+    "[instance]\nid = entry-1\nplace = graz-a\n"
+    "callers = 127.0.0.1:1\npeers = 127.0.0.1:2\n"
+    "operators = [::1]:3\n"
+    "[platform]\nstore = 127.0.0.1:4\nlist = 127.0.0.1:5\n"
+    "[operators]\ntoken = 0123456789abcdef\n";
 
 auto findings_of( std::string const& text ) -> core::findings
 {
@@ -25,12 +26,12 @@
 
 }
 
-TEST_CASE( "good settings have no findings", "[settings]" )
+TEST_CASE( "valid settings have no findings", "[settings]" )
 {
-    CHECK( findings_of( good ).report().empty() );
+    CHECK( findings_of( valid_settings ).report().empty() );
 }
 
-TEST_CASE( "all findings are reported together with their places",
+TEST_CASE( "all findings are reported together with file, line and key",
            "[settings]" )
 {
     auto const found = findings_of( "[instance]\n"
@@ -47,7 +48,7 @@
                                     "not a line\n" );
     auto const report = found.report();
     CAPTURE( report );
-    for ( auto const* const part :
+    for ( auto const* const expected :
           { "daemon.ini:2: instance.id: must not contain",
             "daemon.ini:1: instance.place: is required",
             "daemon.ini:3: instance.callers: 'localhost:80' is not IP:PORT",
@@ -59,15 +60,17 @@
             "daemon.ini:11: extra: is not a section",
             "operators: the section is required",
             "daemon.ini:12: is neither [section] nor key = value" } )
-        CHECK( report.find( part ) != std::string::npos );
+        CHECK( report.find( expected ) != std::string::npos );
 }
 
-TEST_CASE( "settings that cannot be read are a finding", "[settings]" )
+TEST_CASE( "a missing file and a line that is too long are findings",
+           "[settings]" )
 {
     auto found = core::findings{};
     ini::read_file( "does-not-exist.ini", found );
     CHECK( found.report() == "does-not-exist.ini:0: cannot be opened\n" );
-    auto const long_line = findings_of( std::string( good ) + "[limits]\n" +
-                                        std::string( 500, 'x' ) + " = 1\n" );
+    auto const long_line =
+        findings_of( std::string( valid_settings ) + "[limits]\n" +
+                     std::string( 500, 'x' ) + " = 1\n" );
     CHECK( long_line.report().find( "longer than" ) != std::string::npos );
 }
