--- a/src/pollenstream/profiles/profile.hpp
+++ b/src/pollenstream/profiles/profile.hpp
@@ -26,7 +26,7 @@
     /// Requests per second that one workspace may start with this profile; 0
     /// means no limit.
     std::int64_t workspace_requests_per_second{ 0 };
-    /// Preferred data centres, best first.
+    /// Preferred data centres; their order has no effect.
     std::vector<core::data_centre_id> data_centres;
 };
 
