--- a/src/pollenstream/settings/daemon_settings.hpp
+++ b/src/pollenstream/settings/daemon_settings.hpp
@@ -18,12 +18,12 @@
 {
     core::instance_id id;
     core::data_centre_id data_centre;
-    core::address callers;         ///< listens for callers
-    core::address peers;           ///< listens for other instances
-    core::address operators;       ///< listens for operators
-    core::address store;           ///< the platform's store
-    core::address list;            ///< the platform's list of instances
-    std::string token;             ///< that operators have to present
+    core::address callers;   ///< listens for callers
+    core::address peers;     ///< listens for other instances
+    core::address operators; ///< listens for operators
+    core::address store;     ///< the platform's store
+    core::address list;      ///< the platform's list of instances and targets
+    std::string token;       ///< that operators have to present
     std::size_t largest_body{ 0 }; ///< of a caller's request, in bytes
     int threads{ 0 };              ///< for HTTP
     /// Load requests per second, summed over all targets.
