--- a/src/pollenstream/adapters/asio/asio_scheduler.cpp
+++ b/src/pollenstream/adapters/asio/asio_scheduler.cpp
@@ -11,10 +11,11 @@
 
 using namespace std::chrono_literals;
 
-/// The timer's clock counts in a finer unit and would begin again behind it.
-constexpr auto longest_delay = core::duration( 24h * 365 );
+/// Longest delay of a timer. The steady clock has a finer unit than
+/// `core::duration`, so a longer delay could overflow its time points.
+constexpr auto max_delay = core::duration( 24h * 365 );
 
-/// A timer whose callback does not run once this object is gone.
+/// A timer whose callback does not run after this object is destroyed.
 class timer_call : public ports::scheduled_call
 {
 public:
@@ -24,7 +25,7 @@
         : timer_( io ), live_( std::make_shared<bool>( true ) )
     {
         timer_.expires_after(
-            std::clamp( delay, core::duration( 0 ), longest_delay ) );
+            std::clamp( delay, core::duration( 0 ), max_delay ) );
         timer_.async_wait(
             [live = live_, call = std::move( callback )]( error_code ec )
             {
--- a/src/pollenstream/adapters/asio/asio_scheduler.hpp
+++ b/src/pollenstream/adapters/asio/asio_scheduler.hpp
@@ -7,7 +7,7 @@
 namespace pollenstream::adapters::asio
 {
 
-/// Monotonic time and timers of an `io_context`.
+/// Scheduler that uses the steady clock and the timers of an `io_context`.
 class asio_scheduler : public ports::scheduler
 {
 public:
