--- a/src/pollenstream/adapters/asio/caller_connection.cpp
+++ b/src/pollenstream/adapters/asio/caller_connection.cpp
@@ -12,14 +12,16 @@
 using namespace std::chrono_literals;
 
 constexpr auto read_size = std::size_t{ 8 } * 1024;
-/// Bytes of later requests that are read while one is being answered.
-constexpr auto most_read_ahead = std::size_t{ 64 } * 1024;
-/// A caller that acknowledges nothing for this long is gone.
-constexpr auto caller_silence = core::duration( 4s );
-/// How long a closed connection waits for its caller to close too, so that
-/// the last answer is not lost to a reset.
+/// Reading pauses while a request is being answered and more than this many
+/// bytes of pipelined requests are buffered.
+constexpr auto max_read_ahead = std::size_t{ 64 } * 1024;
+/// A connection whose caller acknowledges nothing for this long is closed.
+constexpr auto caller_ack_timeout = core::duration( 4s );
+/// How long a connection that is closed for writing waits for the caller to
+/// close as well. Closing at once could reset the connection and lose the end
+/// of the answer.
 constexpr auto linger_time = core::duration( 1s );
-/// Time for a body, in times for a head.
+/// Timeout for reading a body, as a multiple of the header timeout.
 constexpr auto body_time_factor = 3;
 
 constexpr auto bad_request = 400;
@@ -29,7 +31,7 @@
 constexpr auto head_too_large = 431;
 constexpr auto not_implemented = 501;
 
-/// The answer of one request, tied to the connection that reads it.
+/// Answer channel of one request on a connection.
 class connection_answer : public exchange::answer_channel
 {
 public:
@@ -89,7 +91,7 @@
 
 auto caller_connection::start() -> void
 {
-    set_up_connection( socket_, caller_silence );
+    set_up_connection( socket_, caller_ack_timeout );
     start_request();
     read();
 }
@@ -104,14 +106,14 @@
     parser_->header_limit(
         static_cast<std::uint32_t>( limits_.max_header_bytes ) );
     parser_->body_limit( limits_.max_body_bytes );
-    arm( limits_.idle_timeout );
+    start_timer( limits_.idle_timeout );
 }
 
 auto caller_connection::read() -> void
 {
     if ( reading_ || phase_ == phase::closed )
         return;
-    if ( phase_ == phase::answering && buffer_.size() > most_read_ahead )
+    if ( phase_ == phase::answering && buffer_.size() > max_read_ahead )
         return;
     reading_ = true;
     socket_.async_read_some(
@@ -139,7 +141,8 @@
 
 auto caller_connection::parse() -> void
 {
-    // An answer that is given at once comes back here by `after_answer`.
+    // A handler that answers synchronously calls `after_answer`, which calls
+    // `parse` again; the outer call then continues the loop.
     if ( std::exchange( in_parse_, true ) )
         return;
     while ( buffer_.size() > 0 && phase_ != phase::answering &&
@@ -148,7 +151,7 @@
         if ( phase_ == phase::idle )
         {
             phase_ = phase::head;
-            arm( limits_.header_timeout );
+            start_timer( limits_.header_timeout );
         }
         auto ec = error_code{};
         auto const used = parser_->put( buffer_.data(), ec );
@@ -168,11 +171,11 @@
     in_parse_ = false;
 }
 
-/// Checks the head before the body is read; false where it is refused.
+/// Checks the head before the body is read; returns false if it is refused.
 auto caller_connection::on_head() -> bool
 {
     phase_ = phase::body;
-    arm( limits_.header_timeout * body_time_factor );
+    start_timer( limits_.header_timeout * body_time_factor );
     auto const& head = parser_->get();
     auto const coding = head[http::field::transfer_encoding];
     if ( !coding.empty() && !boost::beast::iequals( coding, "chunked" ) )
@@ -221,18 +224,18 @@
     send_whole( number_, { status, {}, reason + "\n" } );
 }
 
-auto caller_connection::arm( core::duration time ) -> void
+auto caller_connection::start_timer( core::duration time ) -> void
 {
     timer_.expires_after( time );
     timer_.async_wait(
         [self = shared_from_this()]( error_code ec )
         {
             if ( !ec )
-                self->on_time();
+                self->on_timeout();
         } );
 }
 
-auto caller_connection::on_time() -> void
+auto caller_connection::on_timeout() -> void
 {
     if ( timer_.expiry() > std::chrono::steady_clock::now() )
         return;
@@ -354,7 +357,7 @@
     auto ec = error_code{};
     socket_.shutdown( tcp::socket::shutdown_send, ec );
     buffer_.clear();
-    arm( linger_time );
+    start_timer( linger_time );
     read();
 }
 
--- a/src/pollenstream/adapters/asio/caller_connection.hpp
+++ b/src/pollenstream/adapters/asio/caller_connection.hpp
@@ -14,8 +14,9 @@
 namespace pollenstream::adapters::asio
 {
 
-/// One caller's connection. There is always one read under way, so that the
-/// caller's leaving is seen also while its answer is being made.
+/// Connection of one caller. It keeps reading while a request is being
+/// answered, to detect that the caller has closed it; reading pauses only while
+/// too many bytes of later requests are buffered.
 class caller_connection : public std::enable_shared_from_this<caller_connection>
 {
 public:
@@ -26,10 +27,11 @@
     {
         return phase_ == phase::idle;
     }
-    /// Ends the connection once everything is written.
+    /// Closes the connection after all pending bytes are written.
     auto finish() -> void;
 
-    // What the answer of request `number` does; ignored for a former request.
+    // Called by the answer channel of request `number`; ignored unless that
+    // request is the one being answered.
     auto send_whole( std::uint64_t number,
                      exchange::whole_answer const& answer ) -> void;
     auto start_stream( std::uint64_t number,
@@ -46,11 +48,11 @@
 private:
     enum class phase
     {
-        idle,      ///< nothing of a request has come
-        head,      ///< a head has begun
-        body,      ///< the head is there
-        answering, ///< the request is whole
-        lingering, ///< closed for writing, reads until the caller closes
+        idle,      ///< no byte of a request has been received
+        head,      ///< receiving the head
+        body,      ///< head received, receiving the body
+        answering, ///< request received, answer not finished
+        lingering, ///< closed for writing, waits for the caller to close
         closed,
     };
 
@@ -61,8 +63,8 @@
     auto on_head() -> bool;
     auto on_request() -> void;
     auto refuse( int status, std::string const& reason ) -> void;
-    auto arm( core::duration time ) -> void;
-    auto on_time() -> void;
+    auto start_timer( core::duration time ) -> void;
+    auto on_timeout() -> void;
     auto is_current( std::uint64_t number ) const -> bool;
     auto after_answer() -> void;
     auto keeps_alive() const -> bool;
