--- a/src/pollenstream/adapters/asio/caller_listener.cpp
+++ b/src/pollenstream/adapters/asio/caller_listener.cpp
@@ -12,9 +12,9 @@
 
 using namespace std::chrono_literals;
 
-/// Pause after a connection could not be accepted, most often for want of
-/// descriptors.
-constexpr auto accept_pause = core::duration( 20ms );
+/// Delay after a failed accept, which usually means that the process has no
+/// free file descriptors.
+constexpr auto accept_retry_delay = core::duration( 20ms );
 
 }
 
@@ -22,7 +22,7 @@
                                   core::address const& at,
                                   request_handler& handler )
     : io_( io ), handler_( handler ), acceptor_( io, endpoint_of( at ), true ),
-      pause_( io )
+      accept_retry_timer_( io )
 {
     accept();
 }
@@ -43,7 +43,7 @@
             if ( !acceptor_.is_open() )
                 return;
             if ( ec )
-                return pause_accept();
+                return retry_accept_later();
             auto connection = std::make_shared<caller_connection>(
                 *this, std::move( socket ) );
             connections_.insert( connection );
@@ -52,10 +52,10 @@
         } );
 }
 
-auto caller_listener::pause_accept() -> void
+auto caller_listener::retry_accept_later() -> void
 {
-    pause_.expires_after( accept_pause );
-    pause_.async_wait(
+    accept_retry_timer_.expires_after( accept_retry_delay );
+    accept_retry_timer_.async_wait(
         [this]( error_code ec )
         {
             if ( !ec )
--- a/src/pollenstream/adapters/asio/caller_listener.hpp
+++ b/src/pollenstream/adapters/asio/caller_listener.hpp
@@ -15,7 +15,7 @@
 namespace pollenstream::adapters::asio
 {
 
-/// A request as read from a connection, its body whole.
+/// A request as read from a connection, with its complete body.
 struct raw_request
 {
     std::string method;
@@ -39,7 +39,7 @@
 public:
     virtual ~request_handler() = default;
     [[nodiscard]] virtual auto limits() const -> exchange::caller_limits = 0;
-    /// Starts to answer `request`; null where it is answered already.
+    /// Starts to answer `request`; returns null if it was answered at once.
     virtual auto handle( raw_request request,
                          std::shared_ptr<exchange::answer_channel> answer )
         -> std::shared_ptr<request_in_progress> = 0;
@@ -47,12 +47,12 @@
 
 class caller_connection;
 
-/// Accepts connections at one address, reads requests strictly and writes
-/// their answers, one request of a connection at a time.
+/// Accepts connections at one address, reads requests with a strict parser and
+/// writes their answers. Each connection handles one request at a time.
 class caller_listener
 {
 public:
-    /// Throws `boost::system::system_error` where the address is taken.
+    /// Throws `boost::system::system_error` if the address is in use.
     caller_listener( net::io_context& io,
                      core::address const& at,
                      request_handler& handler );
@@ -60,14 +60,14 @@
     caller_listener( caller_listener const& ) = delete;
     auto operator=( caller_listener const& ) -> caller_listener& = delete;
 
-    /// From now on each answer is the last of its connection.
+    /// Each answer that starts after this call closes its connection.
     auto begin_drain() -> void;
-    /// Closes connections on which no request has begun.
+    /// Closes connections that have not started to receive a request.
     auto close_idle() -> void;
-    /// Closes the listening socket.
+    /// Closes the listening socket; open connections stay open.
     auto stop_accepting() -> void;
 
-    /// Where it listens; the kernel chooses a port for port 0.
+    /// The local address, with the port that the kernel chose for port 0.
     [[nodiscard]] auto address() const -> core::address;
     [[nodiscard]] auto connections() const -> std::size_t
     {
@@ -78,12 +78,12 @@
     friend class caller_connection;
 
     auto accept() -> void;
-    auto pause_accept() -> void;
+    auto retry_accept_later() -> void;
 
     net::io_context& io_;
     request_handler& handler_;
     tcp::acceptor acceptor_;
-    net::steady_timer pause_;
+    net::steady_timer accept_retry_timer_;
     std::set<std::shared_ptr<caller_connection>> connections_;
     bool draining_{ false };
 };
