--- a/src/pollenstream/adapters/asio/datagram_socket.cpp
+++ b/src/pollenstream/adapters/asio/datagram_socket.cpp
@@ -24,8 +24,8 @@
                                 {
                                     if ( ec == net::error::operation_aborted )
                                         return;
-                                    // Other errors tell of datagrams sent
-                                    // earlier; reading goes on.
+                                    // Other errors concern datagrams sent
+                                    // earlier, so receiving continues.
                                     if ( !ec )
                                         receiver_( { buffer_.data(), n } );
                                     receive();
@@ -40,7 +40,7 @@
     if ( !ec )
         socket_.send_to( net::buffer( bytes ), udp::endpoint( address, port_ ),
                          0, ec );
-    // A datagram that is lost is made good by the next complete message.
+    // Lost datagrams are not resent: the next complete message replaces them.
     if ( ec )
         send_errors_.add();
 }
--- a/src/pollenstream/adapters/asio/datagram_socket.hpp
+++ b/src/pollenstream/adapters/asio/datagram_socket.hpp
@@ -14,14 +14,14 @@
 namespace pollenstream::adapters::asio
 {
 
-/// Datagrams between instances, all of which use the same port.
+/// UDP socket for messages between instances, which all use the same port.
 class datagram_socket : public peers::datagram_sender
 {
 public:
-    /// Throws `boost::system::system_error` where the port is taken.
+    /// Throws `boost::system::system_error` if the port is in use.
     datagram_socket( net::io_context& io, core::address const& at );
 
-    /// Calls `receiver` with each datagram from now on.
+    /// Starts to receive; calls `receiver` with each datagram.
     auto start( std::function<void( std::string_view )> receiver ) -> void;
     auto send( std::string const& ip, std::string const& bytes )
         -> void override;
@@ -35,12 +35,12 @@
 private:
     auto receive() -> void;
 
-    static constexpr auto largest = std::size_t{ 64 } * 1024;
+    static constexpr auto max_datagram_bytes = std::size_t{ 64 } * 1024;
 
     udp::socket socket_;
     std::uint16_t port_;
     udp::endpoint from_;
-    std::array<char, largest> buffer_{};
+    std::array<char, max_datagram_bytes> buffer_{};
     std::function<void( std::string_view )> receiver_;
     core::counter send_errors_;
 };
