--- a/src/pollenstream/adapters/asio/http_client.cpp
+++ b/src/pollenstream/adapters/asio/http_client.cpp
@@ -18,18 +18,18 @@
 
 using namespace std::chrono_literals;
 
-/// Bytes read at once; an event of a stream has some hundred bytes.
+/// Bytes per read; an event of a stream has a few hundred bytes.
 constexpr auto read_size = std::size_t{ 16 } * 1024;
-/// Kept connections of one pool; targets bound the connections of all callers
-/// together.
-constexpr auto most_idle = std::size_t{ 8 };
-/// How long a connection is kept where the other side names no time, and the
-/// margin by which its own time is undercut.
-constexpr auto unnamed_idle_time = core::duration( 700ms );
+/// Idle connections kept per pool. Targets limit the total number of
+/// connections from all their clients.
+constexpr auto max_idle_connections = std::size_t{ 8 };
+/// How long an idle connection is kept if the server sends no Keep-Alive
+/// timeout, and the margin subtracted from a timeout that it sends.
+constexpr auto default_idle_time = core::duration( 700ms );
 constexpr auto idle_margin = core::duration( 400ms );
-constexpr auto continue_status = 200;
+constexpr auto min_final_status = 200;
 
-auto named_idle_time( http::fields const& fields )
+auto advertised_idle_time( http::fields const& fields )
     -> std::optional<core::duration>
 {
     auto const value = fields[http::field::keep_alive];
@@ -60,7 +60,7 @@
 
 }
 
-/// One connection with at most one call on it.
+/// A connection that carries at most one call at a time.
 class client_connection : public std::enable_shared_from_this<client_connection>
 {
 public:
@@ -95,7 +95,8 @@
     {
         return sent_;
     }
-    /// Tells the calls apart that use the connection one after the other.
+    /// Number of the latest call; distinguishes successive calls on the
+    /// connection.
     [[nodiscard]] auto call_number() const -> std::uint64_t
     {
         return call_number_;
@@ -121,7 +122,8 @@
         socket_.close( ec );
     }
 
-    /// Watches the idle connection: bytes or an end mean that it is unusable.
+    /// Reads from the idle connection: received bytes or an end of stream make
+    /// it unusable.
     auto watch_idle() -> void
     {
         idle_ = true;
@@ -205,7 +207,7 @@
         reading_ = false;
         if ( idle_ )
         {
-            // Nothing is expected here: an end, or bytes of no call.
+            // No call is open, so this is the end of the stream or stray bytes.
             owner_.forget( this );
             return close();
         }
@@ -219,7 +221,7 @@
         read();
     }
 
-    /// False where the call has ended.
+    /// Returns false if the call has ended.
     auto parse() -> bool
     {
         while ( buffer_.size() > 0 )
@@ -232,7 +234,7 @@
                 fail( { core::error_code::malformed, ec.message() } );
                 return false;
             }
-            if ( !note_progress() )
+            if ( !deliver_progress() )
                 return false;
             if ( parser_->is_done() )
             {
@@ -246,8 +248,9 @@
         return true;
     }
 
-    /// Hands on the head and the body so far; false where the call has ended.
-    auto note_progress() -> bool
+    /// Passes the head and new body bytes to the listener; returns false if the
+    /// call has ended.
+    auto deliver_progress() -> bool
     {
         if ( !parser_->is_header_done() )
             return true;
@@ -257,10 +260,10 @@
             head_seen_ = true;
             auto head = raw_head{ static_cast<int>( message.result_int() ),
                                   fields_of( message.base() ) };
-            is_stray_ = head.status < continue_status ||
-                        ( call_.is_mine && !call_.is_mine( head ) );
+            is_stray_ = head.status < min_final_status ||
+                        ( call_.accepts_head && !call_.accepts_head( head ) );
             had_stray_ =
-                had_stray_ || ( is_stray_ && head.status >= continue_status );
+                had_stray_ || ( is_stray_ && head.status >= min_final_status );
             if ( !is_stray_ )
                 listener_->on_head( std::move( head ) );
         }
@@ -272,7 +275,7 @@
         return listener_ != nullptr;
     }
 
-    /// False where the call has ended.
+    /// Returns false if the call has ended.
     auto on_answer_done() -> bool
     {
         if ( is_stray_ )
@@ -294,13 +297,13 @@
         auto const can_keep = written_ && !had_stray_ &&
                               parser_->keep_alive() && buffer_.size() == 0 &&
                               socket_.is_open();
-        auto const named = named_idle_time( parser_->get().base() );
+        auto const advertised = advertised_idle_time( parser_->get().base() );
         auto const listener = std::exchange( listener_, nullptr );
         if ( can_keep )
         {
-            auto const time =
-                named ? std::max( core::duration( 0 ), *named - idle_margin )
-                      : unnamed_idle_time;
+            auto const time = advertised ? std::max( core::duration( 0 ),
+                                                     *advertised - idle_margin )
+                                         : default_idle_time;
             idle_until_ = std::chrono::steady_clock::now() + time;
             owner_.keep( shared_from_this() );
         }
@@ -321,7 +324,7 @@
         {
             auto end_error = error_code{};
             parser_->put_eof( end_error );
-            if ( !end_error && note_progress() )
+            if ( !end_error && deliver_progress() )
                 return complete();
         }
         fail( error_of( ec ) );
@@ -382,7 +385,7 @@
     }
 
 private:
-    /// False once the connection serves another call or none.
+    /// Returns false once the connection carries another call or none.
     [[nodiscard]] auto is_open() const -> bool
     {
         return connection_->call_number() == number_ && connection_->has_call();
@@ -392,12 +395,12 @@
     std::uint64_t number_;
 };
 
-/// Gathers a whole answer within a time.
-class gathering : public http_listener,
-                  public std::enable_shared_from_this<gathering>
+/// Collects a complete answer and reports a timeout if it takes too long.
+class reply_collector : public http_listener,
+                        public std::enable_shared_from_this<reply_collector>
 {
 public:
-    gathering( net::io_context& io, http_client::fetched callback )
+    reply_collector( net::io_context& io, http_client::fetch_callback callback )
         : timer_( io ), callback_( std::move( callback ) )
     {
     }
@@ -444,7 +447,7 @@
     }
 
     net::steady_timer timer_;
-    http_client::fetched callback_;
+    http_client::fetch_callback callback_;
     http_reply reply_;
 };
 
@@ -475,7 +478,7 @@
 auto http_client::keep( std::shared_ptr<client_connection> connection ) -> void
 {
     auto& kept = idle_[connection->pool()];
-    if ( kept.size() >= most_idle )
+    if ( kept.size() >= max_idle_connections )
     {
         kept.front()->close();
         kept.erase( kept.begin() );
@@ -510,11 +513,13 @@
 namespace
 {
 
-/// A process that listens keeps a fresh connection this long. Something that
-/// accepts in the place of one that has ended closes it at once.
-constexpr auto kept_open = core::duration( std::chrono::milliseconds( 40 ) );
+/// A probe succeeds if the connection stays open this long. Anything else that
+/// accepts connections in place of a process that has ended closes them at
+/// once.
+constexpr auto probe_hold_time =
+    core::duration( std::chrono::milliseconds( 40 ) );
 
-/// One connection that is made to see whether anybody listens.
+/// Opens a connection to find out whether a process listens at an address.
 class connection_probe : public std::enable_shared_from_this<connection_probe>
 {
 public:
@@ -547,7 +552,7 @@
                              ec == net::error::connection_reset;
         if ( ec )
             return finish( refused ? std::optional( false ) : std::nullopt );
-        timer_.expires_after( kept_open );
+        timer_.expires_after( probe_hold_time );
         timer_.async_wait(
             [self = shared_from_this()]( error_code e )
             {
@@ -555,7 +560,7 @@
                     self->finish( true );
             } );
         socket_.async_read_some(
-            net::buffer( unasked_ ),
+            net::buffer( unexpected_byte_ ),
             [self = shared_from_this()]( error_code e, std::size_t )
             {
                 self->finish( !e );
@@ -574,7 +579,8 @@
     tcp::socket socket_;
     net::steady_timer timer_;
     done callback_;
-    std::array<char, 1> unasked_{}; ///< nothing is sent, nothing should come
+    std::array<char, 1>
+        unexpected_byte_{}; ///< the probe sends nothing and expects nothing
 };
 
 }
@@ -590,10 +596,11 @@
 
 auto http_client::fetch( http_call call,
                          core::duration limit,
-                         fetched callback )
+                         fetch_callback callback )
     -> std::shared_ptr<exchange::open_attempt>
 {
-    auto gather = std::make_shared<gathering>( io_, std::move( callback ) );
+    auto gather =
+        std::make_shared<reply_collector>( io_, std::move( callback ) );
     auto opened = send( std::move( call ), gather );
     gather->limit( limit, opened );
     return opened;
--- a/src/pollenstream/adapters/asio/http_client.hpp
+++ b/src/pollenstream/adapters/asio/http_client.hpp
@@ -18,26 +18,26 @@
 namespace pollenstream::adapters::asio
 {
 
-/// Start of an answer as it came.
+/// Status and header fields of an answer as received.
 struct raw_head
 {
     int status{ 0 };
     exchange::header_list fields;
 };
 
-/// One call over HTTP/1.1.
+/// An HTTP/1.1 request and how to send it.
 struct http_call
 {
     core::address address;
-    std::string pool; ///< connections are kept and reused within one pool
+    std::string pool; ///< connections are reused only within a pool
     std::shared_ptr<std::string const> text;
     bool fresh_connection{ false };
     core::duration connect_time{ std::chrono::milliseconds( 400 ) };
-    /// Data unacknowledged for this long ends the connection.
+    /// The connection ends if sent data stays unacknowledged for this long.
     core::duration silence{ std::chrono::milliseconds( 1500 ) };
-    /// False for an answer that belongs to another call on the connection; it
-    /// is passed over. Null: every answer belongs.
-    std::function<bool( raw_head const& )> is_mine;
+    /// Returns false for an answer that belongs to another call on the
+    /// connection; such an answer is skipped. Null accepts every answer.
+    std::function<bool( raw_head const& )> accepts_head;
 };
 
 class http_listener
@@ -49,7 +49,7 @@
     virtual auto on_end( exchange::attempt_end end ) -> void = 0;
 };
 
-/// A whole answer.
+/// A complete answer.
 struct http_reply
 {
     int status{ 0 };
@@ -58,8 +58,8 @@
 
 class client_connection;
 
-/// Makes calls and keeps connections that can be used again. A call is sent
-/// once: the client never repeats one by itself.
+/// Makes HTTP calls and keeps idle connections for reuse. Each call is sent
+/// once: the client never retries.
 class http_client
 {
 public:
@@ -71,14 +71,17 @@
     auto send( http_call call, std::shared_ptr<http_listener> listener )
         -> std::shared_ptr<exchange::open_attempt>;
 
-    using fetched = std::function<void( core::result<http_reply> )>;
-    /// Makes a call and gives its whole answer, within `limit`.
-    /// Connects and closes again; nothing where no answer comes in time.
+    using fetch_callback = std::function<void( core::result<http_reply> )>;
+    /// Connects to `address` and closes the connection. Reports true if a
+    /// process listens there, false if it refuses or drops the connection, and
+    /// nullopt after any other error or after `limit`.
     auto probe( core::address const& address,
                 core::duration limit,
                 std::function<void( std::optional<bool> )> callback ) -> void;
 
-    auto fetch( http_call call, core::duration limit, fetched callback )
+    /// Makes a call and reports its complete answer, or an error if it takes
+    /// longer than `limit`.
+    auto fetch( http_call call, core::duration limit, fetch_callback callback )
         -> std::shared_ptr<exchange::open_attempt>;
 
     [[nodiscard]] auto connections_made() const -> std::uint64_t
