--- a/src/pollenstream/adapters/asio/http_text.hpp
+++ b/src/pollenstream/adapters/asio/http_text.hpp
@@ -14,19 +14,20 @@
 
 namespace http = boost::beast::http;
 
-/// Copies the fields of a message in their order.
+/// Copies the header fields of a message in order.
 auto fields_of( http::fields const& fields ) -> exchange::header_list;
 
-/// A whole answer as sent, with its length.
+/// Serializes a complete answer with a Content-Length.
 auto write_answer( exchange::whole_answer const& answer, bool keep_alive )
     -> std::string;
-/// The head of an answer whose body follows in chunks.
+/// Serializes the head of an answer with a chunked body.
 auto write_stream_head( int status,
                         exchange::header_list const& headers,
                         bool keep_alive ) -> std::string;
 auto write_chunk( std::string_view bytes ) -> std::string;
 auto write_last_chunk() -> std::string;
-/// A whole request as sent, with its length where it has a body.
+/// Serializes a complete request. Adds a Content-Length unless the body is
+/// empty and the method is GET, HEAD, DELETE or OPTIONS.
 auto write_request( std::string_view method,
                     std::string_view target,
                     exchange::header_list const& headers,
--- a/src/pollenstream/adapters/asio/prelude.hpp
+++ b/src/pollenstream/adapters/asio/prelude.hpp
@@ -2,7 +2,7 @@
 #define POLLENSTREAM_ADAPTERS_ASIO_PRELUDE_HPP
 
 // Boost 1.74 uses std::exchange in its coroutine header without including
-// <utility>; in C++20 that header has to come first.
+// <utility>; in C++20 that header must be included first.
 // clang-format off
 #include <utility>
 
--- a/src/pollenstream/adapters/asio/socket_options.cpp
+++ b/src/pollenstream/adapters/asio/socket_options.cpp
@@ -12,8 +12,8 @@
 
 auto set_option( int fd, int level, int name, int value ) -> void
 {
-    // Without the option the connection still works; only silence is found
-    // later, by the timeouts of requests.
+    // Errors are ignored: without the option the connection works, but a
+    // silent peer is detected later, by request timeouts.
     static_cast<void>(
         ::setsockopt( fd, level, name, &value, sizeof( value ) ) );
 }
--- a/src/pollenstream/adapters/asio/socket_options.hpp
+++ b/src/pollenstream/adapters/asio/socket_options.hpp
@@ -8,13 +8,13 @@
 namespace pollenstream::adapters::asio
 {
 
-/// Sends small writes at once, and ends a connection whose peer has not
-/// acknowledged data or probes for `silence`, so that connections that have
-/// gone silent are found. Errors leave the system's defaults and are harmless.
+/// Disables Nagle's algorithm, and ends the connection if the peer acknowledges
+/// neither data nor keep-alive probes for `silence`, so that dead connections
+/// are detected. Options that cannot be set keep the system's defaults.
 auto set_up_connection( tcp::socket& socket, core::duration silence ) -> void;
 
-/// The endpoint of `a`; port 0 at the unspecified address where `a.ip` is not
-/// an IP number.
+/// The endpoint of `a`; the unspecified address with port 0 if `a.ip` is not a
+/// valid IP address.
 auto endpoint_of( core::address const& a ) -> tcp::endpoint;
 
 }
