--- a/src/pollenstream/adapters/spdlog/structured_log.cpp
+++ b/src/pollenstream/adapters/spdlog/structured_log.cpp
@@ -12,10 +12,11 @@
 namespace
 {
 
-/// Lines that wait to be written; about a second of the heaviest load.
-constexpr auto queue_lines = std::size_t{ 4'096 };
+/// Maximum number of lines that wait to be written: about one second of output
+/// at peak load.
+constexpr auto max_queued_lines = std::size_t{ 4'096 };
 
-/// Puts one line together from names and values.
+/// Builds one log line from `name=value` pairs.
 class line_builder
 {
 public:
@@ -79,7 +80,7 @@
     return line;
 }
 
-/// The targets that read parts beside the first, joined by commas.
+/// Comma-separated targets of all parts but the first.
 auto helpers_of( std::vector<exchange::work_part> const& parts ) -> std::string
 {
     auto names = std::string{};
@@ -169,7 +170,7 @@
 structured_log::structured_log( core::instance_id self )
     : self_( std::move( self ) )
 {
-    ::spdlog::init_thread_pool( queue_lines, 1 );
+    ::spdlog::init_thread_pool( max_queued_lines, 1 );
     auto sink = std::make_shared<::spdlog::sinks::stdout_sink_mt>();
     logger_ = std::make_shared<::spdlog::async_logger>(
         "events", std::move( sink ), ::spdlog::thread_pool(),
--- a/src/pollenstream/adapters/spdlog/structured_log.hpp
+++ b/src/pollenstream/adapters/spdlog/structured_log.hpp
@@ -15,9 +15,9 @@
 namespace pollenstream::adapters::spdlog
 {
 
-/// Writes events as lines of `name=value` to standard output. Lines go through
-/// a bounded queue that drops the oldest and counts them, so that a reader who
-/// stops reading never holds up a request.
+/// Writes each event to standard output as a line of `name=value` pairs. Lines
+/// pass through a bounded queue that drops and counts the oldest lines when it
+/// is full, so a blocked reader of the output never delays a request.
 class structured_log : public exchange::event_log
 {
 public:
@@ -28,7 +28,7 @@
 
     auto record( exchange::event const& what ) -> void override;
 
-    /// Lines that were dropped for want of room.
+    /// Number of lines dropped because the queue was full.
     [[nodiscard]] auto dropped() const -> std::uint64_t;
 
 private:
