--- a/src/pollenstream/adapters/asio/http_client.cpp
+++ b/src/pollenstream/adapters/asio/http_client.cpp
@@ -579,8 +579,8 @@
     tcp::socket socket_;
     net::steady_timer timer_;
     done callback_;
-    std::array<char, 1>
-        unexpected_byte_{}; ///< the probe sends nothing and expects nothing
+    /// The probe sends nothing, so no byte is expected.
+    std::array<char, 1> unexpected_byte_{};
 };
 
 }
--- a/src/pollenstream/adapters/asio/http_client.hpp
+++ b/src/pollenstream/adapters/asio/http_client.hpp
@@ -40,6 +40,7 @@
     std::function<bool( raw_head const& )> accepts_head;
 };
 
+/// Receives the answer of one call: head and body if they arrive, then the end.
 class http_listener
 {
 public:
