--- a/src/pollenstream/adapters/http/answer_sinks.cpp
+++ b/src/pollenstream/adapters/http/answer_sinks.cpp
@@ -25,8 +25,8 @@
     return json;
 }
 
-/// Keeps track of whether the connection to a caller has failed.
-class connection_watch
+/// Sends replies to a caller and records whether its connection has failed.
+class reply_channel
 {
 public:
     auto reply( web::http::http_request const& request,
@@ -63,14 +63,14 @@
         auto delta = value::object();
         delta["content"] = value::string( std::string( text ) );
         send( "data: " + chunk( delta, {} ).serialize() + "\n\n" );
-        return !watch_.is_gone();
+        return !channel_.is_gone();
     }
 
     auto keep_alive() -> bool override
     {
         start();
         send( ": waiting\n\n" );
-        return !watch_.is_gone();
+        return !channel_.is_gone();
     }
 
     auto finish( ports::answer_end const& end ) -> void override
@@ -78,7 +78,7 @@
         auto const complete = end.status == ports::answer_status::complete;
         if ( !started_ && !complete )
         {
-            watch_.reply( request_, problem_response( end ) );
+            channel_.reply( request_, problem_response( end ) );
             return;
         }
         start();
@@ -104,7 +104,7 @@
         auto response = web::http::http_response( web::http::status_codes::OK );
         response.headers().add( "Cache-Control", "no-store" );
         response.set_body( buffer_.create_istream(), "text/event-stream" );
-        watch_.reply( request_, response );
+        channel_.reply( request_, response );
     }
 
     auto send( std::string const& text ) -> void
@@ -132,15 +132,15 @@
 
     web::http::http_request request_;
     std::string model_;
-    connection_watch watch_;
+    reply_channel channel_;
     concurrency::streams::producer_consumer_buffer<std::uint8_t> buffer_;
     bool started_{ false };
 };
 
-class whole_sink : public ports::answer_sink
+class buffered_sink : public ports::answer_sink
 {
 public:
-    whole_sink( web::http::http_request const& request, std::string model )
+    buffered_sink( web::http::http_request const& request, std::string model )
         : request_( request ), model_( std::move( model ) )
     {
     }
@@ -160,7 +160,7 @@
     {
         if ( end.status != ports::answer_status::complete )
         {
-            watch_.reply( request_, problem_response( end ) );
+            channel_.reply( request_, problem_response( end ) );
             return;
         }
         auto message = value::object();
@@ -177,14 +177,14 @@
         json["usage"] = usage_json( end );
         auto response = web::http::http_response( web::http::status_codes::OK );
         response.set_body( json );
-        watch_.reply( request_, response );
+        channel_.reply( request_, response );
     }
 
 private:
     web::http::http_request request_;
     std::string model_;
     std::string text_;
-    connection_watch watch_;
+    reply_channel channel_;
 };
 
 }
@@ -196,10 +196,11 @@
     return std::make_shared<streaming_sink>( request, std::move( model ) );
 }
 
-auto make_whole_sink( web::http::http_request const& request,
-                      std::string model ) -> std::shared_ptr<ports::answer_sink>
+auto make_buffered_sink( web::http::http_request const& request,
+                         std::string model )
+    -> std::shared_ptr<ports::answer_sink>
 {
-    return std::make_shared<whole_sink>( request, std::move( model ) );
+    return std::make_shared<buffered_sink>( request, std::move( model ) );
 }
 
 }
--- a/src/pollenstream/adapters/http/answer_sinks.hpp
+++ b/src/pollenstream/adapters/http/answer_sinks.hpp
@@ -11,16 +11,16 @@
 namespace pollenstream::adapters::http
 {
 
-/// Sends an answer as server-sent events while it is made. The response
-/// starts with the first token or keep-alive; what fails before gets a status
-/// of its own, what fails after is told in an `error` event.
+/// Streams an answer as server-sent events. The response starts with the first
+/// token or keep-alive. A failure before that is reported by the HTTP status, a
+/// later one by an `error` event.
 auto make_streaming_sink( web::http::http_request const& request,
                           std::string model )
     -> std::shared_ptr<ports::answer_sink>;
 
-/// Sends an answer as one JSON document when it is whole.
-auto make_whole_sink( web::http::http_request const& request,
-                      std::string model )
+/// Collects an answer and sends it as one JSON document when it is complete.
+auto make_buffered_sink( web::http::http_request const& request,
+                         std::string model )
     -> std::shared_ptr<ports::answer_sink>;
 
 }
--- a/src/pollenstream/adapters/http/caller_listener.cpp
+++ b/src/pollenstream/adapters/http/caller_listener.cpp
@@ -22,9 +22,9 @@
 constexpr auto deadline_header = "Pollenstream-Deadline-Ms";
 constexpr auto ticket_header = "Pollenstream-Ticket";
 constexpr auto key_header = "Idempotency-Key";
-constexpr auto longest_name = std::size_t{ 200 };
+constexpr auto max_name_length = std::size_t{ 200 };
 
-/// What the headers common to all calls say.
+/// The parsed headers that all calls share.
 struct call_headers
 {
     core::workspace_id workspace;
@@ -42,9 +42,9 @@
     auto const [stopped, status] =
         std::from_chars( digits.data(), end, milliseconds );
     constexpr auto day = std::int64_t{ 24 } * 60 * 60 * 1000;
-    auto const is_good = status == std::errc{} && stopped == end &&
-                         milliseconds > 0 && milliseconds <= day;
-    if ( !is_good )
+    auto const is_valid = status == std::errc{} && stopped == end &&
+                          milliseconds > 0 && milliseconds <= day;
+    if ( !is_valid )
         return core::error{ core::error_code::malformed,
                             std::string( deadline_header ) +
                                 " is not a number of milliseconds" };
@@ -60,7 +60,7 @@
     for ( auto const& [name, text] : { std::pair( workspace_header, workspace ),
                                        std::pair( profile_header, profile ) } )
     {
-        if ( text.empty() || text.size() > longest_name )
+        if ( text.empty() || text.size() > max_name_length )
             return core::error{ core::error_code::malformed,
                                 std::string( name ) +
                                     " is missing or too long" };
@@ -94,11 +94,11 @@
     send_reply( message, response );
 }
 
-auto path_below( received_request const& request, std::size_t skipped )
+auto path_after( received_request const& request, std::size_t skipped_parts )
     -> std::string
 {
     auto path = std::string{};
-    for ( auto i = skipped; i < request.path.size(); ++i )
+    for ( auto i = skipped_parts; i < request.path.size(); ++i )
         path += "/" + web::uri::encode_data_string( request.path[i] );
     auto const query = request.message.request_uri().query();
     if ( !query.empty() )
@@ -168,17 +168,17 @@
         refuse( request, chat.error() );
         return;
     }
-    auto& asked = chat.value();
-    auto wanted = sessions::request{};
-    wanted.workspace = headers.value().workspace;
-    wanted.prompt =
-        std::make_shared<std::string const>( std::move( asked.prompt ) );
-    wanted.max_output = asked.max_tokens;
-    wanted.time_limit = headers.value().time_limit;
-    auto sink = asked.stream
-                    ? make_streaming_sink( request.message, asked.model )
-                    : make_whole_sink( request.message, asked.model );
-    gateway_.answer( headers.value().profile, std::move( wanted ),
+    auto& chat_body = chat.value();
+    auto session_request = sessions::request{};
+    session_request.workspace = headers.value().workspace;
+    session_request.prompt =
+        std::make_shared<std::string const>( std::move( chat_body.prompt ) );
+    session_request.max_output = chat_body.max_tokens;
+    session_request.time_limit = headers.value().time_limit;
+    auto sink = chat_body.stream
+                    ? make_streaming_sink( request.message, chat_body.model )
+                    : make_buffered_sink( request.message, chat_body.model );
+    gateway_.answer( headers.value().profile, std::move( session_request ),
                      std::move( sink ) );
 }
 
@@ -213,31 +213,35 @@
         refuse( request, headers.error() );
         return;
     }
-    auto wanted = sessions::plain_call{};
-    wanted.service = core::service_id( request.path[parts_before_service] );
-    wanted.profile = headers.value().profile;
-    wanted.workspace = headers.value().workspace;
+    auto service_request = sessions::plain_call{};
+    service_request.service =
+        core::service_id( request.path[parts_before_service] );
+    service_request.profile = headers.value().profile;
+    service_request.workspace = headers.value().workspace;
     auto const ticket = request.header( ticket_header );
     if ( !ticket.empty() )
-        wanted.ticket = ticket;
-    wanted.call.method = request.message.method();
-    wanted.call.path = path_below( request, parts_before_service + 1 );
-    wanted.call.content_type = request.message.headers().content_type();
-    wanted.call.body = std::move( request.body );
-    wanted.call.key = core::idempotency_key( request.header( key_header ) );
-    wanted.call.time_left =
+        service_request.ticket = ticket;
+    service_request.call.method = request.message.method();
+    service_request.call.path = path_after( request, parts_before_service + 1 );
+    service_request.call.content_type =
+        request.message.headers().content_type();
+    service_request.call.body = std::move( request.body );
+    service_request.call.key =
+        core::idempotency_key( request.header( key_header ) );
+    service_request.call.time_left =
         headers.value().time_limit.value_or( core::duration( 0 ) );
     auto const message = request.message;
-    auto const run = [this, wanted, message]
+    auto const run = [this, service_request, message]
     {
-        gateway_.call( wanted,
+        gateway_.call( service_request,
                        [message]( state::call_outcome const& outcome )
                        {
                            reply_to_call( message, outcome );
                        } );
     };
-    // A ticket may name another instance, and its answer is waited for.
-    if ( wanted.ticket )
+    // A ticket may name another instance; the call then blocks until that
+    // instance answers.
+    if ( service_request.ticket )
         blocking_.post( run );
     else
         run();
--- a/src/pollenstream/adapters/http/caller_listener.hpp
+++ b/src/pollenstream/adapters/http/caller_listener.hpp
@@ -8,13 +8,13 @@
 namespace pollenstream::adapters::http
 {
 
-/// Bounds of what callers may send.
+/// Limits on the requests of callers.
 struct caller_limits
 {
     std::size_t largest_body{ 0 }; ///< bytes
 };
 
-/// The interface towards callers; see docs/CALLERS.md.
+/// Serves the HTTP interface for callers; see docs/CALLERS.md.
 class caller_listener
 {
 public:
--- a/src/pollenstream/adapters/http/chat_request.cpp
+++ b/src/pollenstream/adapters/http/chat_request.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr auto most_output = std::int64_t{ 1'000'000 };
+constexpr auto max_output_tokens = std::int64_t{ 1'000'000 };
 
 auto read_message( web::json::value const& json, std::string const& path )
     -> core::result<std::string>
@@ -31,11 +31,11 @@
     auto chat = chat_request{};
     chat.model = fields.text( "model", {} );
     chat.stream = fields.flag( "stream", false );
-    auto const most = fields.integer( "max_tokens", 0 );
-    if ( most < 0 || most > most_output )
+    auto const token_limit = fields.integer( "max_tokens", 0 );
+    if ( token_limit < 0 || token_limit > max_output_tokens )
         fields.fault( "max_tokens", "is out of range" );
-    if ( most > 0 )
-        chat.max_tokens = core::token_count( most );
+    if ( token_limit > 0 )
+        chat.max_tokens = core::token_count( token_limit );
     auto const& messages = fields.array( "messages" );
     if ( messages.size() == 0 )
         fields.fault( "messages", "needs at least one message" );
--- a/src/pollenstream/adapters/http/chat_request.hpp
+++ b/src/pollenstream/adapters/http/chat_request.hpp
@@ -10,7 +10,7 @@
 namespace pollenstream::adapters::http
 {
 
-/// What a chat-completions body asks for, as far as it is used here.
+/// The fields of a chat-completions body that the gateway uses.
 struct chat_request
 {
     std::string model;
@@ -19,7 +19,7 @@
     std::optional<core::token_count> max_tokens;
 };
 
-/// Reads a body; an error names the place of the fault.
+/// Parses a body; an error names the JSON path of the invalid field.
 auto read_chat_request( std::string const& body ) -> core::result<chat_request>;
 
 }
