--- a/src/pollenstream/adapters/http/data_line_splitter.cpp
+++ b/src/pollenstream/adapters/http/data_line_splitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr auto data_prefix = std::string_view( "data:" );
 
-auto without_blank( std::string_view text ) -> std::string_view
+auto trim_value( std::string_view text ) -> std::string_view
 {
     if ( !text.empty() && text.front() == ' ' )
         text.remove_prefix( 1 );
@@ -19,8 +19,8 @@
 
 }
 
-data_line_splitter::data_line_splitter( std::size_t longest_line )
-    : longest_line_( longest_line )
+data_line_splitter::data_line_splitter( std::size_t max_line_size )
+    : max_line_size_( max_line_size )
 {
 }
 
@@ -30,21 +30,21 @@
     auto lines = std::vector<std::string>{};
     if ( failed_ )
         return lines;
-    rest_.append( bytes );
+    incomplete_line_.append( bytes );
     auto begin = std::size_t{ 0 };
-    auto end = rest_.find( '\n' );
+    auto end = incomplete_line_.find( '\n' );
     while ( end != std::string::npos )
     {
         auto const line =
-            std::string_view( rest_ ).substr( begin, end - begin );
+            std::string_view( incomplete_line_ ).substr( begin, end - begin );
         if ( line.substr( 0, data_prefix.size() ) == data_prefix )
             lines.emplace_back(
-                without_blank( line.substr( data_prefix.size() ) ) );
+                trim_value( line.substr( data_prefix.size() ) ) );
         begin = end + 1;
-        end = rest_.find( '\n', begin );
+        end = incomplete_line_.find( '\n', begin );
     }
-    rest_.erase( 0, begin );
-    failed_ = rest_.size() > longest_line_;
+    incomplete_line_.erase( 0, begin );
+    failed_ = incomplete_line_.size() > max_line_size_;
     return lines;
 }
 
--- a/src/pollenstream/adapters/http/data_line_splitter.hpp
+++ b/src/pollenstream/adapters/http/data_line_splitter.hpp
@@ -9,14 +9,14 @@
 namespace pollenstream::adapters::http
 {
 
-/// Cuts the bytes of a server-sent event stream into the values of its `data`
-/// lines. A line longer than the limit makes it fail for good.
+/// Splits the bytes of a server-sent event stream into the values of its `data`
+/// lines. Fails permanently once an incomplete line exceeds the limit.
 class data_line_splitter
 {
 public:
-    explicit data_line_splitter( std::size_t longest_line );
+    explicit data_line_splitter( std::size_t max_line_size );
 
-    /// Adds bytes and returns the data lines that are complete.
+    /// Appends bytes and returns the values of the data lines they complete.
     auto add( std::string_view bytes ) -> std::vector<std::string>;
 
     [[nodiscard]] auto has_failed() const -> bool
@@ -25,8 +25,8 @@
     }
 
 private:
-    std::size_t longest_line_;
-    std::string rest_;
+    std::size_t max_line_size_;
+    std::string incomplete_line_;
     bool failed_{ false };
 };
 
--- a/src/pollenstream/adapters/http/engine_codec.cpp
+++ b/src/pollenstream/adapters/http/engine_codec.cpp
@@ -13,8 +13,8 @@
 
 using web::json::value;
 
-/// Marks in one message, at most.
-constexpr auto most_marks = std::size_t{ 256 };
+/// Upper bound on the prefix marks read from one message.
+constexpr auto max_marks = std::size_t{ 256 };
 
 auto microseconds_of( core::duration d ) -> std::int64_t
 {
@@ -40,7 +40,7 @@
     return owner;
 }
 
-// A hash needs all 64 bits, which JSON numbers do not promise.
+// Hashes are sent as hexadecimal text: JSON numbers do not guarantee 64 bits.
 auto hash_text( std::uint64_t hash ) -> std::string
 {
     constexpr auto hexadecimal = 16;
@@ -76,7 +76,7 @@
     auto marks = core::prefix_chain{};
     for ( auto const& each : json )
     {
-        if ( marks.size() == most_marks )
+        if ( marks.size() == max_marks )
             break;
         auto fields = json_fields( each, "$.marks" );
         marks.push_back( { fields.integer( "tokens", 0 ),
@@ -186,14 +186,14 @@
     return r;
 }
 
-auto to_json( ports::reservation_request const& wanted ) -> value
+auto to_json( ports::reservation_request const& reservation ) -> value
 {
     auto json = value::object();
-    json["reservation"] = value::string( wanted.id.str() );
-    json["owner"] = to_json( wanted.owner );
-    json["tokens"] = value::number( wanted.tokens.count() );
+    json["reservation"] = value::string( reservation.id.str() );
+    json["owner"] = to_json( reservation.owner );
+    json["tokens"] = value::number( reservation.tokens.count() );
     json["time_to_live_us"] =
-        value::number( microseconds_of( wanted.time_to_live ) );
+        value::number( microseconds_of( reservation.time_to_live ) );
     return json;
 }
 
--- a/src/pollenstream/adapters/http/engine_codec.hpp
+++ b/src/pollenstream/adapters/http/engine_codec.hpp
@@ -12,10 +12,11 @@
 namespace pollenstream::adapters::http
 {
 
-/// The engines' messages as JSON.
+/// Converts the messages exchanged with engines to and from JSON.
 auto to_json( ports::engine_request const& request ) -> web::json::value;
 auto to_json( ports::load_report const& report ) -> web::json::value;
-auto to_json( ports::reservation_request const& wanted ) -> web::json::value;
+auto to_json( ports::reservation_request const& reservation )
+    -> web::json::value;
 auto to_json( std::vector<ports::held_memory> const& held ) -> web::json::value;
 auto to_json( ports::engine_event const& event ) -> web::json::value;
 
--- a/src/pollenstream/adapters/http/engine_http_client.cpp
+++ b/src/pollenstream/adapters/http/engine_http_client.cpp
@@ -15,15 +15,15 @@
 using namespace std::chrono_literals;
 using web::http::methods;
 
-constexpr auto longest_silence = core::duration( 1h );
+constexpr auto stream_timeout = core::duration( 1h );
 constexpr auto control_timeout = core::duration( 2s );
-/// Longest event that an engine may send, in bytes.
-constexpr auto longest_event = std::size_t{ 256 } * 1024;
-/// Bytes of a refusal that are kept for its detail.
-constexpr auto longest_detail = std::size_t{ 512 };
+/// Maximum size of one event from an engine, in bytes.
+constexpr auto max_event_size = std::size_t{ 256 } * 1024;
+/// Bytes of an error response that are kept as the detail of the error.
+constexpr auto max_detail_size = std::size_t{ 512 };
 
-/// One open connection that an answer comes over. Keeps itself alive while a
-/// read is under way.
+/// An open connection that delivers one answer. Keeps itself alive while a read
+/// is pending.
 class http_engine_stream
     : public ports::engine_stream,
       public std::enable_shared_from_this<http_engine_stream>
@@ -36,7 +36,7 @@
                         std::shared_ptr<ports::stream_listener> listener )
         : pool_( pool ), control_( control ), to_( std::move( to ) ),
           request_( std::move( request ) ), listener_( std::move( listener ) ),
-          lines_( longest_event )
+          lines_( max_event_size )
     {
     }
 
@@ -46,7 +46,7 @@
         message.set_response_stream( make_push_stream(
             [self]( std::string_view bytes )
             {
-                self->take_bytes( bytes );
+                self->on_bytes( bytes );
             } ) );
         pool_.client_for( to_ )
             ->request( message, source_.get_token() )
@@ -94,10 +94,10 @@
     }
 
     /// Called by the client for each piece of the body, one at a time.
-    auto take_bytes( std::string_view bytes ) -> void
+    auto on_bytes( std::string_view bytes ) -> void
     {
-        if ( !has_events_ && first_bytes_.size() < longest_detail )
-            first_bytes_.append( bytes.substr( 0, longest_detail ) );
+        if ( !has_events_ && first_bytes_.size() < max_detail_size )
+            first_bytes_.append( bytes.substr( 0, max_detail_size ) );
         auto events = std::vector<ports::engine_event>{};
         for ( auto const& line : lines_.add( bytes ) )
         {
@@ -126,7 +126,7 @@
     std::shared_ptr<ports::stream_listener> listener_;
     pplx::cancellation_token_source source_;
     std::atomic<bool> listening_{ true };
-    std::string first_bytes_; ///< of a body that is no stream of events
+    std::string first_bytes_; ///< detail of an error response
     bool has_events_{ false };
     data_line_splitter lines_;
 };
@@ -141,7 +141,7 @@
 }
 
 engine_http_client::engine_http_client()
-    : streams_( longest_silence ), control_( control_timeout )
+    : streams_( stream_timeout ), control_( control_timeout )
 {
 }
 
@@ -167,7 +167,8 @@
     std::shared_ptr<ports::stream_listener> listener )
     -> std::shared_ptr<ports::engine_stream>
 {
-    // The kept connections share the fate of the one that was lost.
+    // The other persistent connections to the engine are probably lost as
+    // well.
     streams_.drop( engine.address );
     auto stream = std::make_shared<http_engine_stream>(
         streams_, control_, engine.address, request.request,
--- a/src/pollenstream/adapters/http/engine_http_client.hpp
+++ b/src/pollenstream/adapters/http/engine_http_client.hpp
@@ -7,7 +7,7 @@
 namespace pollenstream::adapters::http
 {
 
-/// Calls to model engines over HTTP, with answers as server-sent events.
+/// Calls model engines over HTTP; answers arrive as server-sent events.
 class engine_http_client : public ports::engine_client
 {
 public:
@@ -45,8 +45,8 @@
                        std::string const& path,
                        done callback ) -> void;
 
-    client_pool streams_; ///< silence is judged by the session
-    client_pool control_; ///< short calls
+    client_pool streams_; ///< the session detects silent targets
+    client_pool control_; ///< for short calls, with a short timeout
 };
 
 }
