--- a/src/pollenstream/adapters/http/client_pool.cpp
+++ b/src/pollenstream/adapters/http/client_pool.cpp
@@ -19,8 +19,8 @@
 
 auto code_of( std::error_code const& status ) -> core::error_code
 {
-    // The library tells a refused connection, and one to a dead host, as
-    // "host unreachable" before anything was sent.
+    // The library reports both a refused connection and a dead host as "host
+    // unreachable", before anything was sent.
     if ( status == std::errc::host_unreachable ||
          status == std::errc::connection_refused )
         return core::error_code::unreachable;
@@ -37,10 +37,10 @@
     -> std::shared_ptr<http_client>
 {
     auto const lock = std::scoped_lock( mutex_ );
-    auto& kept = clients_[to];
-    if ( !kept )
-        kept = fresh_client( to, timeout_ );
-    return kept;
+    auto& pooled = clients_[to];
+    if ( !pooled )
+        pooled = fresh_client( to, timeout_ );
+    return pooled;
 }
 
 auto client_pool::drop( core::address const& to ) -> void
--- a/src/pollenstream/adapters/http/client_pool.hpp
+++ b/src/pollenstream/adapters/http/client_pool.hpp
@@ -15,17 +15,18 @@
 namespace pollenstream::adapters::http
 {
 
-/// One HTTP client, with its kept connections, for each address.
+/// Holds one HTTP client, with its persistent connections, for each address.
 class client_pool
 {
 public:
-    /// `timeout` bounds the silence on a connection during a call.
+    /// `timeout` is the longest time that a connection may be idle during a
+    /// call.
     explicit client_pool( core::duration timeout );
 
     auto client_for( core::address const& to )
         -> std::shared_ptr<web::http::client::http_client>;
 
-    /// Forgets the kept connections to `to`, which may have gone silent.
+    /// Discards the persistent connections to `to`, which may be dead.
     auto drop( core::address const& to ) -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
@@ -37,12 +38,13 @@
         clients_;
 };
 
-/// A client with no kept connections: what it meets is of this call alone.
+/// A client without persistent connections, so that a failure concerns this
+/// call alone.
 auto fresh_client( core::address const& to, core::duration timeout )
     -> std::shared_ptr<web::http::client::http_client>;
 
-/// What an exception of the HTTP client proves. Only a connection that was
-/// never made proves that nothing ran.
+/// Converts an exception of the HTTP client to an error. Only `unreachable`, a
+/// connection that was never established, proves that nothing ran.
 auto error_of( std::exception_ptr const& failure ) -> core::error;
 
 }
--- a/src/pollenstream/adapters/http/json_call.cpp
+++ b/src/pollenstream/adapters/http/json_call.cpp
@@ -87,10 +87,10 @@
     if ( status == status_codes::ServiceUnavailable ||
          status == status_codes::PreconditionFailed )
         return { core::error_code::refused, std::move( detail ) };
-    auto const is_our_fault = status >= status_codes::BadRequest &&
-                              status < status_codes::InternalError;
-    auto const code =
-        is_our_fault ? core::error_code::malformed : core::error_code::failed;
+    auto const is_client_error = status >= status_codes::BadRequest &&
+                                 status < status_codes::InternalError;
+    auto const code = is_client_error ? core::error_code::malformed
+                                      : core::error_code::failed;
     return { code, std::move( detail ) };
 }
 
--- a/src/pollenstream/adapters/http/json_call.hpp
+++ b/src/pollenstream/adapters/http/json_call.hpp
@@ -13,35 +13,35 @@
 namespace pollenstream::adapters::http
 {
 
-/// One HTTP call with JSON in and out.
+/// An HTTP request with an optional JSON body and a JSON reply.
 struct json_request
 {
     web::http::method method{ web::http::methods::GET };
-    std::string path; ///< with its query, encoded
+    std::string path; ///< percent-encoded, includes the query
     std::optional<web::json::value> body;
 };
 
 using json_result = core::result<web::json::value>;
 using json_done = std::function<void( json_result const& )>;
 
-/// Sends the call and calls back once. What fails becomes an error, and an
-/// answer that is not 2xx becomes the error that `error_of_status` names.
+/// Sends the request and calls `callback` once. A failed call yields an error;
+/// a status other than 2xx yields the error that `error_of_status` returns.
 auto call_json( client_pool& pool,
                 core::address const& to,
                 json_request const& request,
                 json_done callback ) -> void;
 
-/// As `call_json`, and waits for the answer.
+/// Like `call_json`, but blocks until the reply arrives.
 auto call_json_and_wait( client_pool& pool,
                          core::address const& to,
                          json_request const& request ) -> json_result;
 
-/// The error that an HTTP status stands for: 404 not found, 409 conflict, 412
-/// and 503 refused, other 4xx malformed, else failed.
+/// Maps an HTTP status to an error: 404 to `not_found`, 409 to `conflict`, 412
+/// and 503 to `refused`, other 4xx to `malformed`, all else to `failed`.
 auto error_of_status( web::http::status_code status, std::string detail )
     -> core::error;
 
-/// `text` with every byte encoded that has a meaning in a path or a query.
+/// Percent-encodes the bytes of `text` that have a meaning in a path or query.
 auto encode_part( std::string const& text ) -> std::string;
 
 }
--- a/src/pollenstream/adapters/http/json_fields.cpp
+++ b/src/pollenstream/adapters/http/json_fields.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/// Deeper nesting than this is refused before the parser recurses into it.
-constexpr auto deepest_nesting = 64;
+/// Text with deeper nesting is rejected before the recursive parser sees it.
+constexpr auto max_nesting_depth = 64;
 
 auto is_nested_too_deep( std::string const& text ) -> bool
 {
@@ -26,7 +26,7 @@
             ++depth;
         else if ( !in_string && ( c == ']' || c == '}' ) )
             --depth;
-        if ( depth > deepest_nesting )
+        if ( depth > max_nesting_depth )
             return true;
     }
     return false;
@@ -144,7 +144,7 @@
     auto value = web::json::value::parse( text, status );
     if ( !status )
         return value;
-    // The parser tells line and column only by an exception.
+    // The parser reports line and column only in its exception.
     try
     {
         web::json::value::parse( text );
--- a/src/pollenstream/adapters/http/json_fields.hpp
+++ b/src/pollenstream/adapters/http/json_fields.hpp
@@ -12,12 +12,13 @@
 namespace pollenstream::adapters::http
 {
 
-/// Reads members of a JSON object. The first fault is kept with its place and
-/// defaults are returned after it, so that a reader tests once, at the end.
+/// Reads members of a JSON object. The first fault is recorded with its JSON
+/// path and an invalid member reads as its fallback, so that callers check
+/// `status` once, at the end.
 class json_fields
 {
 public:
-    /// `path` names the object in faults, such as `$.messages[0]`.
+    /// `path` locates the object in error messages, such as `$.messages[0]`.
     json_fields( web::json::value const& object, std::string path );
 
     auto text( std::string const& key, std::string fallback ) -> std::string;
@@ -26,10 +27,10 @@
         -> std::int64_t;
     auto real( std::string const& key, double fallback ) -> double;
     auto flag( std::string const& key, bool fallback ) -> bool;
-    /// The array `key`, or an empty one.
+    /// Returns the array `key`, or an empty array if it is absent or invalid.
     auto array( std::string const& key ) -> web::json::array const&;
 
-    /// Notes a fault of `key`, if it is the first.
+    /// Records a fault of `key`, unless one is already recorded.
     auto fault( std::string const& key, std::string_view message ) -> void;
 
     [[nodiscard]] auto status() const -> core::result<void>;
@@ -46,7 +47,7 @@
     std::string fault_;
 };
 
-/// Parses `text`; a fault tells the place that the parser gives.
+/// Parses `text`; a syntax error contains its line and column.
 auto parse_json( std::string const& text ) -> core::result<web::json::value>;
 
 }
--- a/src/pollenstream/adapters/http/push_buffer.cpp
+++ b/src/pollenstream/adapters/http/push_buffer.cpp
@@ -12,17 +12,18 @@
     concurrency::streams::details::streambuf_state_manager<std::uint8_t>;
 using traits = concurrency::streams::char_traits<std::uint8_t>;
 
-auto no_byte() -> pplx::task<traits::int_type>
+auto eof_task() -> pplx::task<traits::int_type>
 {
     return pplx::task_from_result( traits::eof() );
 }
 
-/// A buffer that can be written and holds nothing.
+/// A write-only buffer that passes bytes on and stores none.
 class push_buffer : public state_manager
 {
 public:
-    explicit push_buffer( std::function<void( std::string_view )> take )
-        : state_manager( std::ios_base::out ), take_( std::move( take ) )
+    explicit push_buffer( std::function<void( std::string_view )> on_bytes )
+        : state_manager( std::ios_base::out ),
+          on_bytes_( std::move( on_bytes ) )
     {
     }
 
@@ -98,7 +99,7 @@
     auto _commit( std::size_t ) -> void override {}
     auto _bumpc() -> pplx::task<int_type> override
     {
-        return no_byte();
+        return eof_task();
     }
     auto _sbumpc() -> int_type override
     {
@@ -106,7 +107,7 @@
     }
     auto _getc() -> pplx::task<int_type> override
     {
-        return no_byte();
+        return eof_task();
     }
     auto _sgetc() -> int_type override
     {
@@ -114,11 +115,11 @@
     }
     auto _nextc() -> pplx::task<int_type> override
     {
-        return no_byte();
+        return eof_task();
     }
     auto _ungetc() -> pplx::task<int_type> override
     {
-        return no_byte();
+        return eof_task();
     }
     auto _getn( std::uint8_t*, std::size_t ) -> pplx::task<std::size_t> override
     {
@@ -128,20 +129,20 @@
 private:
     auto push( std::uint8_t const* bytes, std::size_t count ) -> void
     {
-        take_( { reinterpret_cast<char const*>( bytes ), count } );
+        on_bytes_( { reinterpret_cast<char const*>( bytes ), count } );
     }
 
-    std::function<void( std::string_view )> take_;
+    std::function<void( std::string_view )> on_bytes_;
 };
 
 }
 
-auto make_push_stream( std::function<void( std::string_view )> take )
+auto make_push_stream( std::function<void( std::string_view )> on_bytes )
     -> concurrency::streams::basic_ostream<std::uint8_t>
 {
     auto buffer = std::shared_ptr<
         concurrency::streams::details::basic_streambuf<std::uint8_t>>(
-        std::make_shared<push_buffer>( std::move( take ) ) );
+        std::make_shared<push_buffer>( std::move( on_bytes ) ) );
     return concurrency::streams::streambuf<std::uint8_t>( buffer )
         .create_ostream();
 }
--- a/src/pollenstream/adapters/http/push_buffer.hpp
+++ b/src/pollenstream/adapters/http/push_buffer.hpp
@@ -9,10 +9,10 @@
 namespace pollenstream::adapters::http
 {
 
-/// Takes the bytes of a body where the HTTP client writes them, and hands
-/// them on at once. A body that is read from the client's own buffer costs two
-/// more tasks a read, each of which may wake a thread.
-auto make_push_stream( std::function<void( std::string_view )> take )
+/// Returns a stream that passes each piece of a body to `on_bytes` as soon as
+/// the HTTP client writes it. Reading the body from the client's own buffer
+/// would cost two more tasks per read, each of which may wake a thread.
+auto make_push_stream( std::function<void( std::string_view )> on_bytes )
     -> concurrency::streams::basic_ostream<std::uint8_t>;
 
 }
--- a/src/pollenstream/adapters/http/read_available.hpp
+++ b/src/pollenstream/adapters/http/read_available.hpp
@@ -10,9 +10,9 @@
 namespace pollenstream::adapters::http
 {
 
-/// Waits for at least one byte and reads what is there, `size` at most; 0 at
-/// the end of the stream. The library's own `getn` waits until it has filled
-/// the whole of its room, which would hold tokens back.
+/// Waits for at least one byte, then reads the available bytes, at most `size`.
+/// Yields 0 at the end of the stream. The library's own `getn` waits until its
+/// buffer is full, which would delay tokens.
 auto read_available( concurrency::streams::streambuf<std::uint8_t> from,
                      std::uint8_t* into,
                      std::size_t size ) -> pplx::task<std::size_t>;
--- a/src/pollenstream/adapters/http/send_reply.hpp
+++ b/src/pollenstream/adapters/http/send_reply.hpp
@@ -9,13 +9,13 @@
 {
 
 /// Sends `response` and calls `on_failure` if the caller cannot be reached.
-/// The library ends the process for a task whose failure nobody looks at, so
-/// that every reply goes through here.
+/// Every reply must be sent through this function: the library terminates the
+/// process if the exception of a failed task is not observed.
 auto send_reply( web::http::http_request const& request,
                  web::http::http_response const& response,
                  std::function<void()> on_failure = {} ) -> void;
 
-/// Sends `body` with status 200.
+/// Sends `body` as JSON with status 200.
 auto send_json( web::http::http_request const& request,
                 web::json::value const& body ) -> void;
 
