--- a/src/pollenstream/adapters/http/listener.cpp
+++ b/src/pollenstream/adapters/http/listener.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-/// Bodies up to this many times the limit are read to tell their callers why
-/// they are refused.
-constexpr auto most_excess = std::size_t{ 4 };
+/// Bodies up to this many times the limit are still read, so that the caller
+/// receives the reason for the refusal.
+constexpr auto max_excess_factor = std::size_t{ 4 };
 
 auto uri_of( core::address const& at ) -> web::uri
 {
@@ -33,7 +33,7 @@
 {
     if ( path.size() < r.prefix.size() )
         return false;
-    if ( path.size() > r.prefix.size() && !r.takes_more )
+    if ( path.size() > r.prefix.size() && !r.allows_subpaths )
         return false;
     return std::equal( r.prefix.begin(), r.prefix.end(), path.begin() );
 }
@@ -106,10 +106,10 @@
                                           "the body is larger than " +
                                               std::to_string( largest_body_ ) +
                                               " bytes" ) );
-        // The library reads all of a body into memory before it replies. What
-        // is far too large has no place to go, so that it stops reading; that
-        // caller gets no reply.
-        if ( headers.content_length() / most_excess > largest_body_ )
+        // The library reads the whole body into memory before it replies.
+        // Closing the buffer of a far too large body makes it stop reading;
+        // that caller gets no reply.
+        if ( headers.content_length() / max_excess_factor > largest_body_ )
             message.body().streambuf().close( std::ios_base::out );
         return;
     }
--- a/src/pollenstream/adapters/http/listener.hpp
+++ b/src/pollenstream/adapters/http/listener.hpp
@@ -13,30 +13,30 @@
 namespace pollenstream::adapters::http
 {
 
-/// A request whose body, if it has one, has been read whole.
+/// A request whose body, if any, has been read completely.
 struct received_request
 {
     web::http::http_request message;
-    std::vector<std::string> path; ///< decoded parts of the path
+    std::vector<std::string> path; ///< decoded path segments
     std::string body;
 
-    /// Value of a header, or nothing where it is absent.
+    /// Returns the value of a header, or an empty string.
     [[nodiscard]] auto header( std::string const& name ) const -> std::string;
-    /// Value of a query parameter, decoded, or nothing.
+    /// Returns the decoded value of a query parameter, or an empty string.
     [[nodiscard]] auto query( std::string const& name ) const -> std::string;
 };
 
-/// A method and the first parts of a path, with what handles them.
+/// Maps a method and a path prefix to a handler.
 struct route
 {
-    web::http::method method; ///< empty: any
+    web::http::method method; ///< empty: any method
     std::vector<std::string> prefix;
-    bool takes_more{ false }; ///< further parts may follow the prefix
+    bool allows_subpaths{ false }; ///< further segments may follow the prefix
     std::function<void( received_request )> handle;
 };
 
-/// Listens on one address and hands requests to routes. Bodies are bounded;
-/// what no route takes, is too large or cannot be read is refused.
+/// Listens on one address and dispatches requests to routes. Refuses requests
+/// that match no route, exceed the body limit or cannot be read.
 class listener
 {
 public:
--- a/src/pollenstream/adapters/http/operator_listener.cpp
+++ b/src/pollenstream/adapters/http/operator_listener.cpp
@@ -17,8 +17,9 @@
 using web::http::methods;
 using web::json::value;
 
-/// Largest body from an operator: documents of one change, in bytes.
-constexpr auto largest_body = std::size_t{ 32 } * 1024 * 1024;
+/// Maximum size of an operator's request body, which carries all documents of
+/// one change, in bytes.
+constexpr auto max_body_size = std::size_t{ 32 } * 1024 * 1024;
 constexpr auto bearer = std::string_view( "Bearer " );
 
 auto unix_seconds() -> std::int64_t
@@ -53,22 +54,22 @@
     if ( !json )
         return json.error();
     auto fields = json_fields( json.value(), "$" );
-    auto wanted = state::requested_change{};
-    wanted.id = state::change_id( fields.required_text( "change_id" ) );
-    wanted.author = fields.text( "author", {} );
-    wanted.unix_seconds = unix_seconds();
+    auto change = state::requested_change{};
+    change.id = state::change_id( fields.required_text( "change_id" ) );
+    change.author = fields.text( "author", {} );
+    change.unix_seconds = unix_seconds();
     for ( auto const& each : fields.array( "remove" ) )
     {
         if ( each.is_string() )
-            wanted.remove.push_back( each.as_string() );
+            change.remove.push_back( each.as_string() );
     }
     auto const base = fields.integer( "based_on", -1 );
     if ( base >= 0 )
-        wanted.based_on = core::revision( base );
+        change.based_on = core::revision( base );
     if ( !fields.status() )
         return fields.status().error();
-    wanted.put = read_texts( json.value() );
-    return wanted;
+    change.put = read_texts( json.value() );
+    return change;
 }
 
 auto report_json( state::change_report const& report ) -> value
@@ -87,10 +88,11 @@
 
 }
 
-auto equal_tokens( std::string const& given, std::string const& wanted ) -> bool
+auto equal_tokens( std::string const& given, std::string const& expected )
+    -> bool
 {
-    return given.size() == wanted.size() &&
-           CRYPTO_memcmp( given.data(), wanted.data(), wanted.size() ) == 0;
+    return given.size() == expected.size() &&
+           CRYPTO_memcmp( given.data(), expected.data(), expected.size() ) == 0;
 }
 
 operator_listener::operator_listener( core::address const& at,
@@ -101,7 +103,7 @@
                                       operator_actions actions )
     : token_( std::move( token ) ), sources_( sources ),
       publisher_( publisher ), codec_( codec ),
-      actions_( std::move( actions ) ), listener_( at, largest_body, routes() )
+      actions_( std::move( actions ) ), listener_( at, max_body_size, routes() )
 {
 }
 
@@ -122,9 +124,9 @@
     {
         auto const given = request.header( "Authorization" );
         auto const is_bearer = given.substr( 0, bearer.size() ) == bearer;
-        auto const is_known =
+        auto const is_authorized =
             is_bearer && equal_tokens( given.substr( bearer.size() ), token_ );
-        if ( is_known )
+        if ( is_authorized )
         {
             ( this->*handle )( request );
             return;
@@ -234,21 +236,21 @@
 
 auto operator_listener::on_apply( received_request const& request ) -> void
 {
-    auto const wanted = read_change( request.body );
-    if ( !wanted )
+    auto const change = read_change( request.body );
+    if ( !change )
     {
-        refuse( request, wanted.error().detail );
+        refuse( request, change.error().detail );
         return;
     }
     send_json( request.message,
-               report_json( publisher_.apply( wanted.value() ) ) );
+               report_json( publisher_.apply( change.value() ) ) );
 }
 
 auto operator_listener::on_reach( received_request const& request ) -> void
 {
-    auto const wanted =
+    auto const revision =
         core::revision( std::atoll( request.query( "revision" ).c_str() ) );
-    auto const reach = actions_.reach( wanted );
+    auto const reach = actions_.reach( revision );
     auto json = value::object();
     json["asked"] = value::number( reach.asked );
     json["in_force"] = value::number( reach.in_force );
--- a/src/pollenstream/adapters/http/operator_listener.hpp
+++ b/src/pollenstream/adapters/http/operator_listener.hpp
@@ -12,24 +12,24 @@
 namespace pollenstream::adapters::http
 {
 
-/// On how many instances a revision is in force.
+/// The number of instances on which a revision is in force.
 struct revision_reach
 {
     std::int64_t asked{ 0 };    ///< instances that are not gone
-    std::int64_t in_force{ 0 }; ///< of these, with that revision or a later one
+    std::int64_t in_force{ 0 }; ///< of these, at that revision or later
 };
 
-/// What operators can cause and ask beyond dumps.
+/// The operations that operators can request besides dumps.
 struct operator_actions
 {
     std::function<void()> drain;
     std::function<revision_reach( core::revision )> reach;
-    /// Runs work that waits for other processes.
+    /// Runs work that blocks on other processes.
     std::function<void( std::function<void()> )> run_blocking;
 };
 
-/// The interface towards operators. Every request carries the token of the
-/// settings; see docs/OPERATIONS.md.
+/// Serves the HTTP interface for operators. Every request must carry the token
+/// from the settings; see docs/OPERATIONS.md.
 class operator_listener
 {
 public:
@@ -48,9 +48,10 @@
                         -> void;
 
     auto routes() -> std::vector<route>;
-    /// As `guarded`, for handlers that wait for other processes.
+    /// Like `guarded`, for handlers that block on other processes.
     auto guarded_blocking( handler handle )
         -> std::function<void( received_request )>;
+    /// Wraps a handler so that it runs only if the token is valid.
     auto guarded( handler handle ) -> std::function<void( received_request )>;
     auto on_dump( received_request const& request ) -> void;
     auto on_instances( received_request const& request ) -> void;
@@ -69,8 +70,9 @@
     listener listener_;
 };
 
-/// Compares in a time that depends on the lengths alone.
-auto equal_tokens( std::string const& given, std::string const& wanted )
+/// Compares in a time that depends only on the lengths, so that the duration
+/// does not reveal the token.
+auto equal_tokens( std::string const& given, std::string const& expected )
     -> bool;
 
 }
--- a/src/pollenstream/adapters/http/problem.cpp
+++ b/src/pollenstream/adapters/http/problem.cpp
@@ -19,7 +19,7 @@
     web::http::status_code status;
 };
 
-/// Registry of reasons that have a status of their own.
+/// The reasons that have a specific HTTP status.
 constexpr auto reason_statuses = std::array{
     reason_status{ "unknown-profile", 404 },
     reason_status{ "unknown-path", 404 },
--- a/src/pollenstream/adapters/http/problem.hpp
+++ b/src/pollenstream/adapters/http/problem.hpp
@@ -11,19 +11,19 @@
 namespace pollenstream::adapters::http
 {
 
-/// The HTTP status for an answer that is not complete.
+/// Returns the HTTP status for an answer that is not complete.
 auto status_of( ports::answer_end const& end ) -> web::http::status_code;
 
-/// The problem document of an answer that is not complete. Its member
+/// Builds the problem document of an answer that is not complete. Its member
 /// `outcome` is `not-run`, `failed` or `unknown`.
 auto problem_json( ports::answer_end const& end ) -> web::json::value;
 
-/// A whole response with the problem document, and Retry-After where asking
-/// again has a chance.
+/// Builds a response with the problem document, and with a Retry-After header
+/// if a retry may succeed.
 auto problem_response( ports::answer_end const& end )
     -> web::http::http_response;
 
-/// A refusal of input that cannot be read: nothing was run.
+/// Builds the refusal of an invalid request, of which nothing was run.
 auto bad_request( std::string reason, std::string detail ) -> ports::answer_end;
 
 }
