--- a/src/pollenstream/adapters/http/configuration_text_codec.hpp
+++ b/src/pollenstream/adapters/http/configuration_text_codec.hpp
@@ -8,7 +8,8 @@
 namespace pollenstream::adapters::http
 {
 
-/// The head as JSON, operators' documents as INI.
+/// Encodes the configuration head as JSON and reads operators' documents as
+/// INI.
 class configuration_text_codec : public ports::configuration_codec
 {
 public:
@@ -22,9 +23,9 @@
         -> profiles::document override;
 };
 
-/// One accepted change, as in the head and towards operators.
+/// Encodes an accepted change, for the head and for replies to operators.
 auto to_json( state::accepted_change const& change ) -> web::json::value;
-/// Findings towards operators.
+/// Encodes findings for replies to operators.
 auto to_json( core::findings const& found ) -> web::json::value;
 
 }
--- a/src/pollenstream/adapters/http/list_http_client.hpp
+++ b/src/pollenstream/adapters/http/list_http_client.hpp
@@ -9,8 +9,8 @@
 namespace pollenstream::adapters::http
 {
 
-/// The platform's instance list over HTTP. A list that has not changed is not
-/// sent again where the platform gives entity tags. Not for several threads.
+/// Fetches the platform's instance list over HTTP. If the platform sends entity
+/// tags, an unchanged list is not transferred again. Not thread-safe.
 class list_http_client : public ports::instance_list
 {
 public:
@@ -22,10 +22,10 @@
 private:
     core::address list_;
     client_pool calls_;
-    std::string entity_tag_; ///< of the list as it was read last
+    std::string entity_tag_; ///< of the last list that was read
 };
 
-/// Reads the list's JSON; entries that cannot be read make it fail.
+/// Parses the list's JSON; fails if any entry is invalid.
 auto read_listing( web::json::value const& json )
     -> core::result<ports::instance_listing>;
 
--- a/src/pollenstream/adapters/http/service_http_client.hpp
+++ b/src/pollenstream/adapters/http/service_http_client.hpp
@@ -6,9 +6,9 @@
 namespace pollenstream::adapters::http
 {
 
-/// Calls to plain services over HTTP. Each call has a connection of its own:
-/// a kept one could be cut by the other end just as the call is sent, and
-/// nobody could tell whether it ran.
+/// Calls plain services over HTTP. Each call uses a new connection: the target
+/// could close a persistent one just as the call is sent, and it would be
+/// unknown whether the call ran.
 class service_http_client : public ports::service_client
 {
 public:
--- a/src/pollenstream/adapters/http/state_dump.hpp
+++ b/src/pollenstream/adapters/http/state_dump.hpp
@@ -14,7 +14,7 @@
 namespace pollenstream::adapters::http
 {
 
-/// What a dump is made of.
+/// The components whose state is dumped.
 struct dump_sources
 {
     sessions::context& shared;
@@ -26,7 +26,7 @@
     membership::target_watch& targets;
 };
 
-/// The whole state of the process.
+/// Dumps the whole state of the process.
 auto dump_all( dump_sources const& from ) -> web::json::value;
 auto dump_members( dump_sources const& from ) -> web::json::value;
 auto dump_targets( dump_sources const& from ) -> web::json::value;
--- a/src/pollenstream/adapters/http/store_http_client.cpp
+++ b/src/pollenstream/adapters/http/store_http_client.cpp
@@ -14,7 +14,7 @@
 using web::http::methods;
 
 constexpr auto call_timeout = core::duration( 3s );
-/// Longer than any watch asks the store to wait.
+/// Exceeds the longest wait that a watch requests from the store.
 constexpr auto watch_timeout = core::duration( 45s );
 
 auto path_of( std::string const& key ) -> std::string
--- a/src/pollenstream/adapters/http/store_http_client.hpp
+++ b/src/pollenstream/adapters/http/store_http_client.hpp
@@ -7,7 +7,7 @@
 namespace pollenstream::adapters::http
 {
 
-/// The platform's key-value service over HTTP.
+/// Accesses the platform's key-value service over HTTP.
 class store_http_client : public ports::key_value_store
 {
 public:
