--- a/src/pollenstream/adapters/ini/ini_reader.cpp
+++ b/src/pollenstream/adapters/ini/ini_reader.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/// The library's line buffer; a longer line is a finding.
-constexpr auto longest_line = std::size_t{ 190 };
+/// What fits the library's line buffer; a longer line is a finding.
+constexpr auto max_line_size = std::size_t{ 190 };
 
-/// What the library's callbacks share. The library does not say on which line
-/// an entry stands, so the reader counts the lines that it hands out.
+/// State that the library's callbacks share. The library does not report the
+/// line number of an entry, so the reader counts the lines it supplies.
 struct parse_state
 {
     std::istringstream lines;
@@ -47,36 +47,36 @@
         split_section( text.substr( 1, close - 1 ), state.line ) );
 }
 
-auto hand_out_line( char* buffer, int size, void* user ) -> char*
+auto supply_line( char* buffer, int size, void* user ) -> char*
 {
     auto& state = *static_cast<parse_state*>( user );
     auto line = std::string{};
     if ( !std::getline( state.lines, line ) )
         return nullptr;
     ++state.line;
-    if ( line.size() > longest_line )
+    if ( line.size() > max_line_size )
     {
         state.found.add( { state.out.file, state.line, "" },
                          "line is longer than " +
-                             std::to_string( longest_line ) + " bytes" );
+                             std::to_string( max_line_size ) + " bytes" );
         line.clear();
     }
-    // The library strips indentation only after a look for continuation
-    // lines, which these files do not have.
+    // The library checks for continuation lines before it strips indentation.
+    // These files have no continuation lines, so indentation is removed here.
     line.erase( 0, line.find_first_not_of( " \t" ) );
     if ( !line.empty() && line.front() == '[' )
         open_section( state, line );
-    auto const room = static_cast<std::size_t>( size ) - 1;
-    auto const used = std::min( line.size(), room );
+    auto const capacity = static_cast<std::size_t>( size ) - 1;
+    auto const used = std::min( line.size(), capacity );
     std::copy_n( line.data(), used, buffer );
     buffer[used] = '\0';
     return buffer;
 }
 
-auto take_entry( void* user,
-                 char const* section,
-                 char const* name,
-                 char const* value ) -> int
+auto add_entry( void* user,
+                char const* section,
+                char const* name,
+                char const* value ) -> int
 {
     auto& state = *static_cast<parse_state*>( user );
     auto const in_section = section && *section != '\0';
@@ -99,10 +99,10 @@
 {
     auto state = parse_state{ std::istringstream( text ), 0, found, {} };
     state.out.file = file;
-    auto const first_bad_line =
-        ini_parse_stream( hand_out_line, &state, take_entry, &state );
-    if ( first_bad_line > 0 )
-        found.add( { file, first_bad_line, "" },
+    auto const first_invalid_line =
+        ini_parse_stream( supply_line, &state, add_entry, &state );
+    if ( first_invalid_line > 0 )
+        found.add( { file, first_invalid_line, "" },
                    "is neither [section] nor key = value" );
     return std::move( state.out );
 }
--- a/src/pollenstream/adapters/ini/ini_reader.hpp
+++ b/src/pollenstream/adapters/ini/ini_reader.hpp
@@ -9,7 +9,8 @@
 namespace pollenstream::adapters::ini
 {
 
-/// Reads INI text. Lines that cannot be read become findings under `file`.
+/// Parses INI text. Invalid lines are added to `found`, with `file` as their
+/// file name.
 auto read_text( std::string const& file,
                 std::string const& text,
                 core::findings& found ) -> profiles::document;
@@ -18,7 +19,7 @@
 auto read_file( std::string const& file, core::findings& found )
     -> profiles::document;
 
-/// The whole of `file`; one that cannot be opened is a finding.
+/// Returns the contents of `file`; one that cannot be opened is a finding.
 auto load_file( std::string const& file, core::findings& found ) -> std::string;
 
 }
