--- a/src/pollenstream/adapters/system/asio_timer.hpp
+++ b/src/pollenstream/adapters/system/asio_timer.hpp
@@ -11,7 +11,7 @@
 namespace pollenstream::adapters::system
 {
 
-/// Timers on one thread of their own.
+/// Runs timer callbacks on a dedicated thread.
 class asio_timer : public ports::timer
 {
 public:
@@ -21,7 +21,8 @@
     auto at( core::instant when, std::function<void()> callback )
         -> void override;
 
-    /// Runs no further callback; returns when the one under way has ended.
+    /// Prevents further callbacks. Waits for a running callback to return,
+    /// unless it is called from that callback.
     auto stop() -> void;
 
 private:
--- a/src/pollenstream/adapters/system/blocking_pool.hpp
+++ b/src/pollenstream/adapters/system/blocking_pool.hpp
@@ -8,9 +8,9 @@
 namespace pollenstream::adapters::system
 {
 
-/// Threads for work that waits for other processes. The HTTP library's own
-/// threads must not wait: they are few, and what they would wait for runs on
-/// them too.
+/// A thread pool for work that blocks on other processes. The HTTP library's
+/// own threads must not block: they are few, and they also run the work that
+/// the blocked call would wait for.
 class blocking_pool
 {
 public:
