--- a/src/pollenstream/adapters/thrift/frame_limits.hpp
+++ b/src/pollenstream/adapters/thrift/frame_limits.hpp
@@ -4,9 +4,9 @@
 namespace pollenstream::adapters::thrift
 {
 
-/// Largest frame between instances, in bytes: a whole configuration, or the
-/// body of a forwarded call.
-inline constexpr auto largest_frame = 16 * 1024 * 1024;
+/// Maximum size of a frame between instances, in bytes. The largest frames
+/// carry a whole configuration or the body of a forwarded call.
+inline constexpr auto max_frame_size = 16 * 1024 * 1024;
 
 }
 
--- a/src/pollenstream/adapters/thrift/peer_codec.hpp
+++ b/src/pollenstream/adapters/thrift/peer_codec.hpp
@@ -9,14 +9,14 @@
 namespace pollenstream::adapters::thrift
 {
 
-/// The messages between instances in the form that Thrift carries.
+/// Converts messages between instances to their Thrift structures.
 auto to_wire( ports::heartbeat const& h ) -> wire::heartbeat;
 auto to_wire( ports::peer_configuration const& c ) -> wire::configuration;
 auto to_wire( ports::forwarded_call const& c ) -> wire::forwarded_call;
 auto to_wire( state::call_outcome const& o ) -> wire::forwarded_reply;
 
-/// Reads what a peer sent. Members with an address that cannot be read are
-/// left out; a heartbeat whose sender cannot be read is malformed.
+/// Converts messages from a peer. Changed members with an invalid address are
+/// skipped; a heartbeat whose sender has one yields an error.
 auto from_wire( wire::heartbeat const& h ) -> core::result<ports::heartbeat>;
 auto from_wire( wire::configuration const& c ) -> ports::peer_configuration;
 auto from_wire( wire::forwarded_call const& c ) -> ports::forwarded_call;
--- a/src/pollenstream/adapters/thrift/peer_thrift_client.cpp
+++ b/src/pollenstream/adapters/thrift/peer_thrift_client.cpp
@@ -37,7 +37,8 @@
     return core::error_code::connection_lost;
 }
 
-/// Opens a connection, makes the call `use` on it, and says how it failed.
+/// Opens a connection and runs `use` with a client on it. Exceptions of the
+/// library become errors.
 template <class Result, class Use>
 auto with_connection( core::address const& peer,
                       core::duration timeout,
@@ -46,7 +47,7 @@
     auto connected = false;
     try
     {
-        auto const limits = std::make_shared<TConfiguration>( largest_frame );
+        auto const limits = std::make_shared<TConfiguration>( max_frame_size );
         auto const socket =
             std::make_shared<TSocket>( peer.ip, peer.port, limits );
         auto const milliseconds =
--- a/src/pollenstream/adapters/thrift/peer_thrift_client.hpp
+++ b/src/pollenstream/adapters/thrift/peer_thrift_client.hpp
@@ -9,9 +9,9 @@
 namespace pollenstream::adapters::thrift
 {
 
-/// Calls to other instances over Thrift, framed. Each call has a connection
-/// of its own, so that a connection that went silent cannot be met twice; with
-/// two exchanges a second this costs less than to watch kept ones.
+/// Calls other instances over framed Thrift. Each call opens a new connection,
+/// so that a dead connection affects only one call. At two exchanges a second
+/// this costs less than monitoring persistent connections.
 class peer_thrift_client : public ports::peer_client
 {
 public:
--- a/src/pollenstream/adapters/thrift/peer_thrift_server.cpp
+++ b/src/pollenstream/adapters/thrift/peer_thrift_server.cpp
@@ -27,12 +27,13 @@
 using apache::thrift::server::TNonblockingServer;
 using apache::thrift::transport::TNonblockingServerSocket;
 
-/// Forwarded calls block a worker each; exchanges need few.
+/// Each forwarded call blocks one worker; exchanges need only a few.
 constexpr auto worker_threads = std::size_t{ 8 };
 
 auto discard_output( char const* ) -> void {}
 
-/// Tells the constructor that the address is bound, or why it is not.
+/// Signals the constructor that the address is bound, or passes on the
+/// exception.
 class bound_signal : public apache::thrift::server::TServerEventHandler
 {
 public:
@@ -40,11 +41,11 @@
     {
         bound_.set_value();
     }
-    auto fail( std::exception_ptr const& why ) -> void
+    auto fail( std::exception_ptr const& failure ) -> void
     {
         try
         {
-            bound_.set_exception( why );
+            bound_.set_exception( failure );
         }
         catch ( std::future_error const& )
         {
@@ -60,7 +61,7 @@
     std::promise<void> bound_;
 };
 
-/// Hands Thrift's calls to the port.
+/// Forwards Thrift calls to the `peer_handler` port.
 class wire_handler : public wire::peerIf
 {
 public:
@@ -106,8 +107,8 @@
           socket_( std::make_shared<TNonblockingServerSocket>( listen.ip,
                                                                listen.port ) )
     {
-        // The library reports each connection that ends early; the daemon
-        // counts silent peers instead.
+        // The library logs each connection that ends early. This output is
+        // discarded; the daemon counts unreachable peers instead.
         apache::thrift::GlobalOutput.setOutputFunction( discard_output );
         workers_->threadFactory( std::make_shared<ThreadFactory>() );
         workers_->start();
@@ -116,7 +117,7 @@
         server_ = std::make_unique<TNonblockingServer>(
             processor, std::make_shared<TBinaryProtocolFactory>(), socket_,
             workers_ );
-        server_->setMaxFrameSize( largest_frame );
+        server_->setMaxFrameSize( max_frame_size );
         auto const bound = std::make_shared<bound_signal>();
         server_->setServerEventHandler( bound );
         thread_ = std::thread(
--- a/src/pollenstream/adapters/thrift/peer_thrift_server.hpp
+++ b/src/pollenstream/adapters/thrift/peer_thrift_server.hpp
@@ -9,8 +9,8 @@
 namespace pollenstream::adapters::thrift
 {
 
-/// Answers other instances over Thrift, framed. Frames above the limit close
-/// their connection.
+/// Serves calls from other instances over framed Thrift. A frame above the size
+/// limit closes its connection.
 class peer_thrift_server
 {
 public:
@@ -20,7 +20,7 @@
     peer_thrift_server( peer_thrift_server const& ) = delete;
     auto operator=( peer_thrift_server const& ) -> peer_thrift_server& = delete;
 
-    /// The port that was bound; the settings may leave it to the kernel.
+    /// Returns the bound port; the settings may let the kernel choose it.
     [[nodiscard]] auto port() const -> std::uint16_t;
 
 private:
