--- a/tests/adapters/bad_input_test.cpp
+++ b/tests/adapters/bad_input_test.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-/// Seeded changes of a good text: bytes replaced, taken out and repeated.
-auto spoil( std::string text, std::mt19937_64& random ) -> std::string
+/// Replaces, removes or repeats bytes at one to four random positions.
+auto mutate( std::string text, std::mt19937_64& random ) -> std::string
 {
     auto const changes = 1 + random() % 4;
     for ( auto i = std::uint64_t{ 0 }; i < changes && !text.empty(); ++i )
@@ -42,30 +42,31 @@
 }
 
 template <class Read>
-auto try_spoiled( std::string const& good, Read const& read ) -> void
+auto read_mutations( std::string const& valid_text, Read const& read ) -> void
 {
-    constexpr auto inputs = 2'000;
+    constexpr auto mutation_count = 2'000;
     auto random = std::mt19937_64( 1 );
-    for ( auto i = 0; i < inputs; ++i )
-        read( spoil( good, random ) );
+    for ( auto i = 0; i < mutation_count; ++i )
+        read( mutate( valid_text, random ) );
 }
 
 }
 
-TEST_CASE( "malformed input ends in an error and nowhere else", "[bad-input]" )
+TEST_CASE( "malformed input does not crash a parser", "[bad-input]" )
 {
-    SECTION( "a caller's body" )
+    SECTION( "chat request body" )
     {
-        try_spoiled( R"({"model":"m","stream":true,"max_tokens":5,"messages":[)"
-                     R"({"role":"user","content":"hello \u00e4"}]})",
-                     []( std::string const& text )
-                     {
-                         static_cast<void>( http::read_chat_request( text ) );
-                     } );
+        read_mutations(
+            R"({"model":"m","stream":true,"max_tokens":5,"messages":[)"
+            R"({"role":"user","content":"hello \u00e4"}]})",
+            []( std::string const& text )
+            {
+                static_cast<void>( http::read_chat_request( text ) );
+            } );
     }
-    SECTION( "an engine's event" )
+    SECTION( "engine event" )
     {
-        try_spoiled(
+        read_mutations(
             R"({"r":"a.1.2","a":1,"p":0,"t":"word","load":{"backlog":[1,2,3],)"
             R"("requests":1,"cached":[{"tokens":1024,"hash":"ff"}]}})",
             []( std::string const& text )
@@ -73,10 +74,10 @@
                 static_cast<void>( http::read_engine_event( text ) );
             } );
     }
-    SECTION( "a head" )
+    SECTION( "configuration head" )
     {
         auto const codec = http::configuration_text_codec();
-        try_spoiled(
+        read_mutations(
             R"({"revision":3,"documents":{"a.ini":"00ff"},"changes":[)"
             R"({"id":"c","revision":3,"author":"x","documents":["a.ini"]}]})",
             [&]( std::string const& text )
@@ -84,21 +85,22 @@
                 static_cast<void>( codec.read_head( text ) );
             } );
     }
-    SECTION( "operators' documents" )
+    SECTION( "configuration document" )
     {
-        try_spoiled( "[service s]\nkind = model\n\n[profile p]\nservice = s\n"
-                     "retries = 2\nplaces = a, b\n\n[workspace w]\nshare = 3\n",
-                     []( std::string const& text )
-                     {
-                         auto found = core::findings{};
-                         auto whole = pollenstream::profiles::configuration{};
-                         pollenstream::profiles::read_configuration(
-                             ini::read_text( "f", text, found ), whole, found );
-                     } );
+        read_mutations(
+            "[service s]\nkind = model\n\n[profile p]\nservice = s\n"
+            "retries = 2\nplaces = a, b\n\n[workspace w]\nshare = 3\n",
+            []( std::string const& text )
+            {
+                auto found = core::findings{};
+                auto whole = pollenstream::profiles::configuration{};
+                pollenstream::profiles::read_configuration(
+                    ini::read_text( "f", text, found ), whole, found );
+            } );
     }
-    SECTION( "the instance list" )
+    SECTION( "instance list" )
     {
-        try_spoiled(
+        read_mutations(
             R"({"instances":[{"id":"i","place":"p","callers":"1.2.3.4:1",)"
             R"("peers":"1.2.3.4:2"}],"targets":[{"id":"t","service":"s",)"
             R"("address":"1.2.3.4:3","state":"leaving"}]})",
@@ -112,7 +114,7 @@
     }
 }
 
-TEST_CASE( "a fault of a caller's body is told with its place", "[bad-input]" )
+TEST_CASE( "an error in a chat request names its JSON path", "[bad-input]" )
 {
     auto const detail_of = []( std::string const& text )
     {
@@ -128,35 +130,36 @@
            "the JSON is nested too deep" );
 }
 
-TEST_CASE( "data lines come out however the bytes are cut", "[streams]" )
+TEST_CASE( "data lines are independent of how the stream is split",
+           "[streams]" )
 {
     auto const stream = std::string( ": note\ndata: one\r\n\ndata:two\n\n"
                                      "event: error\ndata: {\"x\":1}\n\n" );
-    auto const wanted = std::vector<std::string>{ "one", "two", "{\"x\":1}" };
-    rc::check( "cut anywhere",
-               [&]( std::vector<std::uint8_t> const& cuts )
+    auto const expected = std::vector<std::string>{ "one", "two", "{\"x\":1}" };
+    rc::check( "random split points",
+               [&]( std::vector<std::uint8_t> const& chunk_sizes )
                {
                    auto splitter = http::data_line_splitter( 1'000 );
                    auto seen = std::vector<std::string>{};
                    auto rest = std::string_view( stream );
-                   auto const take = [&]( std::size_t count )
+                   auto const add_chunk = [&]( std::size_t count )
                    {
                        for ( auto& line :
                              splitter.add( rest.substr( 0, count ) ) )
                            seen.push_back( std::move( line ) );
                        rest.remove_prefix( std::min( count, rest.size() ) );
                    };
-                   for ( auto const cut : cuts )
-                       take( cut % 16 );
-                   take( rest.size() );
-                   RC_ASSERT( seen == wanted );
+                   for ( auto const chunk_size : chunk_sizes )
+                       add_chunk( chunk_size % 16 );
+                   add_chunk( rest.size() );
+                   RC_ASSERT( seen == expected );
                } );
     auto splitter = http::data_line_splitter( 10 );
     splitter.add( std::string( 11, 'x' ) );
     CHECK( splitter.has_failed() );
 }
 
-TEST_CASE( "engine messages read as they were written", "[codec]" )
+TEST_CASE( "engine requests survive a round trip through JSON", "[codec]" )
 {
     auto request = ports::engine_request{};
     request.request = core::request_id( "i.1.2" );
--- a/tests/adapters/scheduler_test.cpp
+++ b/tests/adapters/scheduler_test.cpp
@@ -7,19 +7,19 @@
 namespace core = pollenstream::core;
 namespace adapters = pollenstream::adapters;
 
-TEST_CASE( "a call that is due at the end of time is not made at once",
+TEST_CASE( "a call due at the maximum instant does not run immediately",
            "[scheduler]" )
 {
     auto io = adapters::asio::net::io_context( 1 );
     auto scheduler = adapters::asio::asio_scheduler( io );
-    auto made = false;
-    auto const far = core::instant::max() - scheduler.now();
-    auto const call = scheduler.call_after( far,
-                                            [&made]
+    auto has_run = false;
+    auto const max_delay = core::instant::max() - scheduler.now();
+    auto const call = scheduler.call_after( max_delay,
+                                            [&has_run]
                                             {
-                                                made = true;
+                                                has_run = true;
                                             } );
     io.poll();
     io.run_for( 20ms );
-    CHECK_FALSE( made );
+    CHECK_FALSE( has_run );
 }
