--- a/src/pollenstream/adapters/http/caller_listener.cpp
+++ b/src/pollenstream/adapters/http/caller_listener.cpp
@@ -113,7 +113,7 @@
                                   sessions::gateway& gateway,
                                   system::blocking_pool& blocking )
     : gateway_( gateway ), blocking_( blocking ),
-      listener_( at, limits.largest_body, routes() )
+      listener_( at, limits.max_body_size, routes() )
 {
 }
 
--- a/src/pollenstream/adapters/http/caller_listener.hpp
+++ b/src/pollenstream/adapters/http/caller_listener.hpp
@@ -11,7 +11,7 @@
 /// Limits on the requests of callers.
 struct caller_limits
 {
-    std::size_t largest_body{ 0 }; ///< bytes
+    std::size_t max_body_size{ 0 }; ///< bytes
 };
 
 /// Serves the HTTP interface for callers; see docs/CALLERS.md.
--- a/src/pollenstream/adapters/http/list_http_client.cpp
+++ b/src/pollenstream/adapters/http/list_http_client.cpp
@@ -78,8 +78,8 @@
     -> core::result<ports::instance_listing>
 {
     auto listing = ports::instance_listing{};
-    auto whole = json_fields( json, "$" );
-    for ( auto const& each : whole.array( "instances" ) )
+    auto root = json_fields( json, "$" );
+    for ( auto const& each : root.array( "instances" ) )
     {
         auto fields = json_fields( each, "$.instances[]" );
         auto one = ports::listed_instance{};
@@ -92,7 +92,7 @@
             return fields.status().error();
         listing.instances.push_back( std::move( one ) );
     }
-    for ( auto const& each : whole.array( "targets" ) )
+    for ( auto const& each : root.array( "targets" ) )
     {
         auto fields = json_fields( each, "$.targets[]" );
         auto one = ports::listed_target{};
@@ -105,8 +105,8 @@
             return fields.status().error();
         listing.targets.push_back( std::move( one ) );
     }
-    if ( !whole.status() )
-        return whole.status().error();
+    if ( !root.status() )
+        return root.status().error();
     return listing;
 }
 
--- a/src/pollenstream/adapters/http/listener.cpp
+++ b/src/pollenstream/adapters/http/listener.cpp
@@ -61,9 +61,9 @@
 }
 
 listener::listener( core::address const& at,
-                    std::size_t largest_body,
+                    std::size_t max_body_size,
                     std::vector<route> routes )
-    : largest_body_( largest_body ), routes_( std::move( routes ) ),
+    : max_body_size_( max_body_size ), routes_( std::move( routes ) ),
       listener_( uri_of( at ) )
 {
     listener_.support(
@@ -100,16 +100,16 @@
                     bad_request( "no-length", "send a Content-Length" ) );
         return;
     }
-    if ( headers.content_length() > largest_body_ )
+    if ( headers.content_length() > max_body_size_ )
     {
         reply_with( message, bad_request( "too-large",
                                           "the body is larger than " +
-                                              std::to_string( largest_body_ ) +
+                                              std::to_string( max_body_size_ ) +
                                               " bytes" ) );
         // The library reads the whole body into memory before it replies.
         // Closing the buffer of a far too large body makes it stop reading;
         // that caller gets no reply.
-        if ( headers.content_length() / max_excess_factor > largest_body_ )
+        if ( headers.content_length() / max_excess_factor > max_body_size_ )
             message.body().streambuf().close( std::ios_base::out );
         return;
     }
--- a/src/pollenstream/adapters/http/listener.hpp
+++ b/src/pollenstream/adapters/http/listener.hpp
@@ -41,7 +41,7 @@
 {
 public:
     listener( core::address const& at,
-              std::size_t largest_body,
+              std::size_t max_body_size,
               std::vector<route> routes );
     ~listener();
     listener( listener const& ) = delete;
@@ -54,7 +54,7 @@
     auto receive( web::http::http_request message ) -> void;
     auto dispatch( received_request request ) -> void;
 
-    std::size_t largest_body_;
+    std::size_t max_body_size_;
     std::vector<route> routes_;
     web::http::experimental::listener::http_listener listener_;
     bool is_open_{ false };
--- a/src/pollenstream/adapters/http/state_dump.cpp
+++ b/src/pollenstream/adapters/http/state_dump.cpp
@@ -76,8 +76,8 @@
 
 auto dump_targets( dump_sources const& from ) -> value
 {
-    auto const now = from.shared.clock.now();
-    auto const all = from.shared.targets.all();
+    auto const now = from.context.clock.now();
+    auto const all = from.context.targets.all();
     auto json = value::array( all.size() );
     for ( auto i = std::size_t{ 0 }; i < all.size(); ++i )
         json[i] = target_json( *all[i], now );
@@ -86,7 +86,7 @@
 
 auto dump_metrics( dump_sources const& from ) -> value
 {
-    auto const& m = from.shared.metrics;
+    auto const& m = from.context.metrics;
     auto json = value::object();
     auto first_token = value::object();
     for ( auto i = std::size_t{ 0 }; i < metrics::length_class_count; ++i )
@@ -140,7 +140,7 @@
 {
     auto json = value::object();
     json["instance"] = member_json( from.members.self() );
-    json["open_sessions"] = value::number( from.shared.open_sessions.load() );
+    json["open_sessions"] = value::number( from.context.open_sessions.load() );
     json["tickets_held"] =
         value::number( static_cast<std::uint64_t>( from.ledger.size() ) );
     json["workspaces_held"] = value::number(
--- a/src/pollenstream/adapters/http/state_dump.hpp
+++ b/src/pollenstream/adapters/http/state_dump.hpp
@@ -17,7 +17,7 @@
 /// The components whose state is dumped.
 struct dump_sources
 {
-    sessions::context& shared;
+    sessions::context& context;
     sessions::gateway& gateway;
     state::configuration_holder& holder;
     state::call_ledger& ledger;
