--- a/src/pollenstream/exchange/load_table.hpp
+++ b/src/pollenstream/exchange/load_table.hpp
@@ -99,8 +99,8 @@
 };
 
 /// Weight of a request relative to others. Users value a request by its
-/// prompt's size; this line approximates the weights that they state (1.3 for
-/// 5,000 tokens, 3.1 for 45,000, 22 for 210,000).
+/// prompt's size; this linear function approximates the weights they state (1.3
+/// for 5,000 tokens, 3.1 for 45,000, 22 for 210,000).
 constexpr auto weight_of( std::int64_t prompt_tokens ) -> double
 {
     constexpr auto tokens_per_weight = 10'000.0;
@@ -111,9 +111,9 @@
 /// coordinator this is the work of all instances.
 struct target_load
 {
-    std::int64_t requests{ 0 }; ///< of which the first part is here
-    std::int64_t suspects{ 0 }; ///< of these, that may crash their targets
-    std::int64_t decoding{ 0 }; ///< of these, past their prefill
+    std::int64_t requests{ 0 };       ///< whose first part is here
+    std::int64_t suspects{ 0 };       ///< of these, may crash their targets
+    std::int64_t decoding{ 0 };       ///< of these, past their prefill
     std::int64_t context_tokens{ 0 }; ///< of the requests that decode
     std::int64_t memory_tokens{ 0 };
     std::int64_t parts_prefilling{ 0 };
--- a/src/pollenstream/exchange/message.hpp
+++ b/src/pollenstream/exchange/message.hpp
@@ -112,7 +112,7 @@
 {
     attempt_id id;
     core::target_id target;
-    core::target_lifetime lifetime; ///< earlier ones' connections are closed
+    core::target_lifetime lifetime; ///< connections to earlier ones are closed
     core::address address;
     std::shared_ptr<std::string const> text; ///< encoded head and body
     bool fresh_connection{ false };          ///< do not reuse a connection
--- a/src/pollenstream/exchange/placement.hpp
+++ b/src/pollenstream/exchange/placement.hpp
@@ -14,8 +14,8 @@
 namespace pollenstream::exchange
 {
 
-/// The properties of a request, and of what waits, on which its placement
-/// depends.
+/// What the placement of a request depends on: its own properties and those of
+/// other waiting requests.
 struct placement_demand
 {
     core::service_id service;
@@ -98,7 +98,7 @@
 {
     using list = std::vector<std::shared_ptr<target_entry>>;
 
-    /// No limit, or an ample one unless limits may only be probed.
+    /// No limit, or an ample one if the request may be more than a probe.
     list unlimited;
     list limited; ///< their limits allow a request now
     list ejected; ///< considered failing; their limits allow a request now
--- a/src/pollenstream/exchange/placement_client.hpp
+++ b/src/pollenstream/exchange/placement_client.hpp
@@ -39,7 +39,7 @@
     placement_choice choice;
     core::instance_id decided_by;
     /// The content may have crashed targets. If it is served, the requester
-    /// tells the other instances.
+    /// reports this to the other instances.
     bool is_suspect{ false };
 };
 
--- a/src/pollenstream/exchange/prompt_division.hpp
+++ b/src/pollenstream/exchange/prompt_division.hpp
@@ -78,8 +78,8 @@
 ///
 /// Engines with a backlog are left out: an engine prefills parts for other
 /// engines before its own prompts, and the latest part first. A part that joins
-/// would delay all earlier ones by up to 1.5 s, so that prompts come late that
-/// were predicted in time.
+/// would delay all earlier ones by up to 1.5 s and make prompts late that were
+/// predicted in time.
 auto prefill_candidates_of(
     engine_speed const& speed,
     std::vector<std::shared_ptr<target_entry>> const& targets,
@@ -94,10 +94,10 @@
 auto is_better_decode_target( prefill_candidate const& a,
                               prefill_candidate const& b ) -> bool;
 
-/// The limits of a division for `demand` with `engines` engines. No other
-/// request may be made late while this one can wait, nor once it is late
-/// itself; except shortly before its caller leaves, as an answer that never
-/// comes is worse than a few late ones.
+/// The limits of a division for `demand` with `engines` engines. Other requests
+/// may be made late neither while this one can wait nor once it is late itself,
+/// except shortly before its caller leaves, as an answer that never comes is
+/// worse than a few late ones.
 auto division_limits_for( placement_demand const& demand, std::size_t engines )
     -> division_limits;
 
--- a/src/pollenstream/exchange/routes.hpp
+++ b/src/pollenstream/exchange/routes.hpp
@@ -19,7 +19,7 @@
 /// Identifies a route of the configuration.
 using route_id = core::strong_id<struct route_id_tag>;
 
-/// Whether and how a request may be repeated.
+/// Whether and how a request may be retried.
 enum class request_kind
 {
     safe,   ///< may run any number of times
--- a/src/pollenstream/exchange/sent_times.hpp
+++ b/src/pollenstream/exchange/sent_times.hpp
@@ -29,8 +29,8 @@
     [[nodiscard]] auto within( core::instant now ) const
         -> std::vector<core::instant>;
     [[nodiscard]] auto count_within( core::instant now ) const -> std::size_t;
-    /// From when on fewer than `count` times are in the window; `count` is at
-    /// least 1.
+    /// Earliest time at which fewer than `count` times are in the window;
+    /// `count` is at least 1.
     [[nodiscard]] auto time_with_fewer_than( std::size_t count ) const
         -> core::instant;
 
--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -49,8 +49,8 @@
 /// changes, and a heartbeat with all of it at regular intervals. The
 /// coordinators send their heartbeats, and which instances have become silent,
 /// to all. What an instance sends thus grows with its own requests and not with
-/// the number of instances. Open work that went to all would take 66 kB a
-/// second at each of 295 instances with less than one request a second each.
+/// the number of instances. Sending open work to all would take 66 kB a second
+/// at each of 295 instances with less than one request a second each.
 class peer_group : public exchange::work_announcer, public placement_transport
 {
 public:
@@ -215,10 +215,10 @@
     core::duration store_age_{ 0 };
     core::duration store_served_for_{ 0 };
     peer_message pending_; ///< changes for the next flush
-    /// Recently seen by this instance. Complete messages repeat them, since
-    /// datagrams may be lost.
+    /// Crashes that this instance has seen recently. Complete messages repeat
+    /// them, since datagrams may be lost.
     std::vector<exchange::crashed_run> own_crashes_;
-    std::vector<announced_leaving> own_leaving_targets_; ///< the same
+    std::vector<announced_leaving> own_leaving_targets_; ///< also repeated
     std::size_t next_limit_{ 0 }; ///< first limit of the next complete message
     /// Coordinators that have been sent all open work.
     std::vector<core::instance_id> informed_coordinators_;
--- a/src/pollenstream/peers/placement_router.hpp
+++ b/src/pollenstream/peers/placement_router.hpp
@@ -22,9 +22,9 @@
 /// Counts of one instance's placement requests.
 struct router_counters
 {
-    core::counter sent_to_others; ///< to coordinators on other instances
-    core::counter sent_to_self;   ///< to this instance's own coordinator
-    core::counter sent_to_next;   ///< the coordinator before did not decide it
+    core::counter sent_to_others;        ///< to coordinators on other instances
+    core::counter sent_to_self;          ///< to this instance's own coordinator
+    core::counter sent_to_next;          ///< the previous one did not decide
     core::counter uncoordinated_choices; ///< no coordinator was left to ask
 };
 
--- a/src/pollenstream/peers/quarantine.hpp
+++ b/src/pollenstream/peers/quarantine.hpp
@@ -13,18 +13,18 @@
 namespace pollenstream::peers
 {
 
-/// Quarantines contents that crash their targets. When the crash history of
-/// this instance suspects a content, the last target that it broke at is
-/// probed; if that target is down, the other instances are told, and the
-/// requests for the content that no target decodes yet end here. The quarantine
-/// is lifted when the content has been served, its targets turn out to be
-/// alive, or its crashes are too old to count.
+/// Quarantines contents that crash their targets. When a content awaits
+/// confirmation, the last target where it broke off is probed; unless that
+/// target accepts connections, the content is quarantined: this instance ends
+/// its requests for the content that no target decodes yet and, if it is a
+/// coordinator, informs the others. The quarantine ends when the content is
+/// served, its targets turn out to be alive, or its crashes are too old.
 class quarantine
 {
 public:
     /// Returns true if the registry has been up to date for at least the time
-    /// in which the entry of a target that has ended lapses, so that a target
-    /// that is still listed is alive.
+    /// after which the entry of an ended target expires, so that a target that
+    /// is still listed is alive.
     using registry_check = std::function<bool()>;
 
     quarantine( exchange::exchange_context& context,
