--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -64,7 +64,7 @@
 
     auto start() -> void;
     auto set_ready( bool ready ) -> void;
-    /// Tells all others immediately to direct no more callers to this instance.
+    /// Asks all others immediately to send no more callers to this instance.
     auto announce_leaving() -> void;
     /// Sets the last revision that this instance has seen, the time since the
     /// store answered it, and for how long the store has served it without
@@ -126,8 +126,8 @@
                          exchange::limit_change change ) -> void override;
     auto run_crashed( exchange::crashed_run const& what ) -> void override;
     auto suspect_served( exchange::content_id content ) -> void override;
-    /// If this instance is a coordinator, tells all others that the content is
-    /// quarantined, and which targets it has crashed.
+    /// If this instance is a coordinator, reports to all others that the content
+    /// is quarantined, and which targets it has crashed.
     auto broadcast_quarantined( exchange::content_id content ) -> void;
 
     [[nodiscard]] auto coordinators() const
