--- a/src/pollenstream/peers/peer_group.hpp
+++ b/src/pollenstream/peers/peer_group.hpp
@@ -126,8 +126,8 @@
                          exchange::limit_change change ) -> void override;
     auto run_crashed( exchange::crashed_run const& what ) -> void override;
     auto suspect_served( exchange::content_id content ) -> void override;
-    /// If this instance is a coordinator, reports to all others that the content
-    /// is quarantined, and which targets it has crashed.
+    /// If this instance is a coordinator, reports to all others that the
+    /// content is quarantined, and which targets it has crashed.
     auto broadcast_quarantined( exchange::content_id content ) -> void;
 
     [[nodiscard]] auto coordinators() const
