--- a/scripts/measure_capacity.py
+++ b/scripts/measure_capacity.py
@@ -171,7 +171,7 @@
          changes * cpu("configuration", WORKSPACES),
          changes * configuration_bytes,
          memory("configuration", WORKSPACES)),
-        ("limits (`workspace_limits`, `part_of_limits`)",
+        ("limits (`workspace_limits`, `limit_share`)",
          requests * cpu("limits", WORKSPACES), 0,
          memory("limits", WORKSPACES * 3 / NODES)),
         ("tickets (`call_ledger`)",
